--- a/app/src/test/java/coveladder/app/SettingsFileTest.java
+++ b/app/src/test/java/coveladder/app/SettingsFileTest.java
@@ -28,7 +28,7 @@
     assertEquals("127.0.0.1", settings.listen().host());
     assertEquals(Transport.UDP, settings.ownSwitch().transport());
     assertEquals(Transport.TCP, settings.list().transport());
-    assertEquals(300, settings.rules().guard());
+    assertEquals(300, settings.rules().guardTime());
     assertEquals(8, settings.rules().classes().get(1).worth());
     assertEquals(List.of("", "cove.2"), settings.front().classes().priorities());
     assertEquals(2, settings.front().classes().prefixes().size());
--- a/bench/src/main/java/coveladder/bench/TimedPolicy.java
+++ b/bench/src/main/java/coveladder/bench/TimedPolicy.java
@@ -34,8 +34,8 @@
   }
 
   @Override
-  public void onList(double now, ListNews news) {
-    clock.time(() -> inner.onList(now, news));
+  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
+    clock.time(() -> inner.onDirectoryUpdate(now, news));
   }
 
   @Override
@@ -44,23 +44,23 @@
   }
 
   @Override
-  public void onStands(double now, Stands stands) {
-    clock.time(() -> inner.onStands(now, stands));
+  public void onEstablished(double now, Established stands) {
+    clock.time(() -> inner.onEstablished(now, stands));
   }
 
   @Override
-  public void onEnded(double now, Ended ended) {
-    clock.time(() -> inner.onEnded(now, ended));
+  public void onAttemptEnded(double now, AttemptEnded ended) {
+    clock.time(() -> inner.onAttemptEnded(now, ended));
   }
 
   @Override
-  public void onCallerLeft(double now, String call) {
-    clock.time(() -> inner.onCallerLeft(now, call));
+  public void onCallerAbandoned(double now, String call) {
+    clock.time(() -> inner.onCallerAbandoned(now, call));
   }
 
   @Override
-  public void onReport(double now, Report report) {
-    clock.time(() -> inner.onReport(now, report));
+  public void onLoadReport(double now, LoadReport report) {
+    clock.time(() -> inner.onLoadReport(now, report));
   }
 
   @Override
@@ -69,7 +69,7 @@
   }
 
   @Override
-  public void onPeer(double now, int from, byte[] payload) {
-    clock.time(() -> inner.onPeer(now, from, payload));
+  public void onPeerMessage(double now, int from, byte[] payload) {
+    clock.time(() -> inner.onPeerMessage(now, from, payload));
   }
 }
--- a/core/src/main/java/coveladder/core/CallController.java
+++ b/core/src/main/java/coveladder/core/CallController.java
@@ -1,14 +1,14 @@
 package coveladder.core;
 
 import coveladder.CallPolicy;
+import coveladder.CallPolicy.AttemptEnded;
 import coveladder.CallPolicy.Call;
-import coveladder.CallPolicy.Ended;
-import coveladder.CallPolicy.ListNews;
+import coveladder.CallPolicy.DirectoryUpdate;
+import coveladder.CallPolicy.Established;
 import coveladder.CallPolicy.Load;
+import coveladder.CallPolicy.LoadReport;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.Report;
-import coveladder.CallPolicy.Stands;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -85,7 +85,7 @@
   /** Begins: the policy starts without memory. */
   public void start() {
     tell(p -> p.onStart(clock.now()));
-    if (!settings.listByAsking()) {
+    if (!settings.directoryOnRequest()) {
       signalling.subscribeList();
     }
   }
@@ -157,7 +157,7 @@
   private void patienceEnded(HeldCall held) {
     if (!held.answered()) {
       finalAnswer(held, new FinalAnswer(FinalAnswer.Kind.FAILED, 0, held.lastReason()));
-      tell(p -> p.onCallerLeft(clock.now(), held.call().id()));
+      tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
     }
   }
 
@@ -167,7 +167,7 @@
    */
   public void resume(Call call, int attempt, String exchange) {
     ExchangeList.Entry first =
-        new ExchangeList.Entry(exchange, -1, "", "", CallPolicy.State.IN_SERVICE, 0);
+        new ExchangeList.Entry(exchange, -1, "", "", CallPolicy.ExchangeState.IN_SERVICE, 0);
     HeldCall held = new HeldCall(call, clock.now());
     held.resume(new HeldCall.Attempt(attempt, first, clock.now()));
     if (calls.putIfAbsent(call.id(), held) != null) {
@@ -186,7 +186,7 @@
       held.answer(false);
       journal.callerLeft(held, clock.now() - held.taken());
       cancelCurrent(held);
-      tell(p -> p.onCallerLeft(clock.now(), id));
+      tell(p -> p.onCallerAbandoned(clock.now(), id));
       letGo(held);
     }
   }
@@ -241,7 +241,7 @@
     out.stopLimit();
     double spent = clock.now() - out.sent;
     finalAnswer(held, FinalAnswer.STANDS);
-    tell(p -> p.onStands(clock.now(), new Stands(id, attempt, spent)));
+    tell(p -> p.onEstablished(clock.now(), new Established(id, attempt, spent)));
   }
 
   /**
@@ -296,8 +296,8 @@
     out.stopLimit();
     held.attemptOver(unsure(outcome), own ? Reason.NONE : reason, clock.now());
     journal.over(held, out.number, outcome, own ? Reason.NONE : reason, spent);
-    Ended ended =
-        new Ended(
+    AttemptEnded ended =
+        new AttemptEnded(
             held.call().id(),
             out.number,
             out.first.id(),
@@ -308,7 +308,7 @@
             held.answered(),
             told == null ? load(out.first) : told);
     letGo(held);
-    tell(p -> p.onEnded(clock.now(), ended));
+    tell(p -> p.onAttemptEnded(clock.now(), ended));
   }
 
   /**
@@ -346,7 +346,7 @@
     if (taken == ExchangeList.Taken.CHANGED) {
       List<CallPolicy.Exchange> entries = new ArrayList<>();
       news.entries().forEach(entry -> entries.add(entry.forPolicy()));
-      tell(p -> p.onList(clock.now(), new ListNews(false, news.full(), entries)));
+      tell(p -> p.onDirectoryUpdate(clock.now(), new DirectoryUpdate(false, news.full(), entries)));
       retellCircuits(news.entries());
     }
     return taken == ExchangeList.Taken.GAP;
@@ -356,28 +356,28 @@
   private void retellCircuits(List<ExchangeList.Entry> entries) {
     for (ExchangeList.Entry entry : entries) {
       if (groups.toward(entry.number()) != null && list.byId(entry.id()) != null) {
-        tell(p -> p.onReport(clock.now(), new Report(entry.id(), true, 0, load(entry))));
+        tell(p -> p.onLoadReport(clock.now(), new LoadReport(entry.id(), true, 0, load(entry))));
       }
     }
   }
 
   /** The list could not be had; the old one stays. */
   public void listFailed() {
-    tell(p -> p.onList(clock.now(), new ListNews(true, false, List.of())));
+    tell(p -> p.onDirectoryUpdate(clock.now(), new DirectoryUpdate(true, false, List.of())));
   }
 
   /** The own switch told the free circuits of a group. */
   public void circuits(int number, int free, int size, long version) {
     ExchangeList.Entry far = list.byNumber(number);
     if (groups.take(number, free, size, version) && far != null) {
-      tell(p -> p.onReport(clock.now(), new Report(far.id(), true, 0, load(far))));
+      tell(p -> p.onLoadReport(clock.now(), new LoadReport(far.id(), true, 0, load(far))));
     }
   }
 
   /** An exchange told figures unasked, those of the group toward it among them. */
   public void figures(String exchange, Load told) {
     if (list.byId(exchange) != null) {
-      tell(p -> p.onReport(clock.now(), new Report(exchange, true, 0, told)));
+      tell(p -> p.onLoadReport(clock.now(), new LoadReport(exchange, true, 0, told)));
     }
   }
 
@@ -390,14 +390,14 @@
   public void probed(String exchange, boolean good, double askedAt) {
     ExchangeList.Entry entry = list.byId(exchange);
     if (entry != null) {
-      Report report = new Report(exchange, good, clock.now() - askedAt, load(entry));
-      tell(p -> p.onReport(clock.now(), report));
+      LoadReport report = new LoadReport(exchange, good, clock.now() - askedAt, load(entry));
+      tell(p -> p.onLoadReport(clock.now(), report));
     }
   }
 
   /** A message from another controller came. */
   public void peer(int from, byte[] payload) {
-    tell(p -> p.onPeer(clock.now(), from, payload));
+    tell(p -> p.onPeerMessage(clock.now(), from, payload));
   }
 
   // ---- The end ------------------------------------------------------------------------------
@@ -416,7 +416,7 @@
     for (HeldCall held : new ArrayList<>(calls.values())) {
       if (!held.answered()) {
         finalAnswer(held, new FinalAnswer(atTheEnd(held), 0, Reason.NONE));
-        tell(p -> p.onCallerLeft(clock.now(), held.call().id()));
+        tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
       }
     }
   }
@@ -424,7 +424,7 @@
   /** A call that may have run, of a class that is not simply repeated, has failed. */
   private FinalAnswer.Kind atTheEnd(HeldCall held) {
     boolean harmless =
-        held.attempts() == 0 || settings.classes().get(held.call().type()).anywhere();
+        held.attempts() == 0 || settings.classes().get(held.call().type()).repeatAnywhere();
     return harmless ? FinalAnswer.Kind.SHUT_DOWN : FinalAnswer.Kind.FAILED;
   }
 
@@ -472,8 +472,8 @@
     }
 
     private void skipped(HeldCall held, int number, String exchange) {
-      Ended ended =
-          new Ended(
+      AttemptEnded ended =
+          new AttemptEnded(
               held.call().id(),
               number,
               exchange,
@@ -482,9 +482,9 @@
               0,
               0,
               held.answered(),
-              Load.NOTHING);
+              Load.UNKNOWN);
       journal.over(held, number, Outcome.SKIPPED, Reason.NONE, 0);
-      tell(p -> p.onEnded(clock.now(), ended));
+      tell(p -> p.onAttemptEnded(clock.now(), ended));
     }
 
     @Override
@@ -515,7 +515,7 @@
     }
 
     @Override
-    public void wake(double delay, long label) {
+    public void startTimer(double delay, long label) {
       clock.after(delay, () -> tell(p -> p.onTimer(clock.now(), label)));
     }
 
@@ -528,7 +528,7 @@
     }
 
     @Override
-    public void tell(byte[] payload) {
+    public void broadcast(byte[] payload) {
       signalling.tell(payload.clone());
     }
 
@@ -537,7 +537,7 @@
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToDirectory() {
       signalling.subscribeList();
     }
   }
--- a/core/src/main/java/coveladder/core/ExchangeList.java
+++ b/core/src/main/java/coveladder/core/ExchangeList.java
@@ -1,7 +1,7 @@
 package coveladder.core;
 
 import coveladder.CallPolicy;
-import coveladder.CallPolicy.State;
+import coveladder.CallPolicy.ExchangeState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -32,7 +32,7 @@
    * @param started own clock of its last start, ms; 0: long ago
    */
   public record Entry(
-      String id, int number, String domain, String address, State state, double started) {
+      String id, int number, String domain, String address, ExchangeState state, double started) {
 
     CallPolicy.Exchange forPolicy() {
       return new CallPolicy.Exchange(id, number, state, started);
@@ -87,12 +87,12 @@
 
   private void put(Entry entry, double now) {
     numbers.add(entry.number());
-    if (entry.state() == State.IN_SERVICE) {
+    if (entry.state() == ExchangeState.IN_SERVICE) {
       closedAt.remove(entry.id());
     } else {
       closedAt.putIfAbsent(entry.id(), now);
     }
-    if (entry.state() == State.GONE) {
+    if (entry.state() == ExchangeState.GONE) {
       entries.remove(entry.id());
     } else {
       entries.put(entry.id(), entry);
@@ -128,7 +128,7 @@
   private Entry newest(java.util.function.Predicate<Entry> fits) {
     Entry found = null;
     for (Entry entry : entries.values()) {
-      boolean open = entry.state() == State.IN_SERVICE && fits.test(entry);
+      boolean open = entry.state() == ExchangeState.IN_SERVICE && fits.test(entry);
       if (open && (found == null || entry.started() > found.started())) {
         found = entry;
       }
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -145,7 +145,7 @@
   }
 
   private double gap() {
-    ExchangeList.Entry own = controller.list().byNumber(controller.settings().self());
+    ExchangeList.Entry own = controller.list().byNumber(controller.settings().localExchange());
     return pace.gap(clock.now(), own == null ? 0 : own.started());
   }
 
--- a/core/src/test/java/coveladder/core/CallControllerTest.java
+++ b/core/src/test/java/coveladder/core/CallControllerTest.java
@@ -7,10 +7,10 @@
 import coveladder.CallPolicy;
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.CallClass;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void onList(double now, ListNews news) {
+    public void onDirectoryUpdate(double now, DirectoryUpdate news) {
       events.add("list " + news.entries().size());
     }
 
@@ -100,23 +100,24 @@
     }
 
     @Override
-    public void onStands(double now, Stands stands) {
-      events.add("stands " + stands.call() + " " + stands.spent());
+    public void onEstablished(double now, Established stands) {
+      events.add("stands " + stands.call() + " " + stands.elapsed());
     }
 
     @Override
-    public void onEnded(double now, Ended ended) {
-      events.add("ended " + ended.outcome() + " " + ended.reason() + " last=" + ended.last());
+    public void onAttemptEnded(double now, AttemptEnded ended) {
+      events.add(
+          "ended " + ended.outcome() + " " + ended.reason() + " last=" + ended.callFinished());
     }
 
     @Override
-    public void onCallerLeft(double now, String call) {
+    public void onCallerAbandoned(double now, String call) {
       events.add("left " + call);
     }
 
     @Override
-    public void onReport(double now, Report report) {
-      events.add("report " + report.exchange() + " " + report.load().free());
+    public void onLoadReport(double now, LoadReport report) {
+      events.add("report " + report.exchange() + " " + report.load().freeCircuits());
     }
 
     @Override
@@ -125,7 +126,7 @@
     }
 
     @Override
-    public void onPeer(double now, int from, byte[] payload) {
+    public void onPeerMessage(double now, int from, byte[] payload) {
       events.add("peer " + from);
     }
   }
@@ -164,12 +165,12 @@
               return new Script();
             });
     controller.start();
-    list(1, State.IN_SERVICE);
+    list(1, ExchangeState.IN_SERVICE);
     events.clear();
     wire.clear();
   }
 
-  private void list(long version, State state) {
+  private void list(long version, ExchangeState state) {
     ExchangeList.Entry far = new ExchangeList.Entry("e1", 1, "x1", "sip:s1", state, 0);
     controller.listNews(new ExchangeList.News(true, 0, version, List.of(far)));
   }
@@ -215,7 +216,7 @@
     assertEquals(2, guard.heldBack());
     assertEquals(List.of("start a/0 e1", "start a/3 e1"), wire);
     controller.attemptOver("a", 3, Outcome.BUSY, Reason.NONE, 0);
-    list(2, State.DRAINING);
+    list(2, ExchangeState.DRAINING);
     clock.run(249);
     actions.send("a", "e1", 500);
     assertEquals("start a/4 e1", wire.get(2));
@@ -296,7 +297,8 @@
   void circuitsAreToldOnceTheListKnowsTheirOtherEnd() {
     controller.circuits(2, 7, 9, 1);
     assertTrue(events.isEmpty());
-    ExchangeList.Entry far = new ExchangeList.Entry("e2", 2, "x2", "sip:s2", State.IN_SERVICE, 0);
+    ExchangeList.Entry far =
+        new ExchangeList.Entry("e2", 2, "x2", "sip:s2", ExchangeState.IN_SERVICE, 0);
     controller.listNews(new ExchangeList.News(false, 1, 2, List.of(far)));
     assertEquals(List.of("list 1", "report e2 7.0"), events);
     controller.circuits(2, 5, 9, 1);
--- a/core/src/test/java/coveladder/core/ExchangeListTest.java
+++ b/core/src/test/java/coveladder/core/ExchangeListTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import coveladder.CallPolicy.State;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.core.ExchangeList.Entry;
 import coveladder.core.ExchangeList.News;
 import coveladder.core.ExchangeList.Taken;
@@ -13,7 +13,7 @@
 class ExchangeListTest {
   private final ExchangeList list = new ExchangeList();
 
-  private static Entry entry(String id, int number, State state, double started) {
+  private static Entry entry(String id, int number, ExchangeState state, double started) {
     return new Entry(id, number, "x" + number, "sip:s" + number, state, started);
   }
 
@@ -27,38 +27,44 @@
 
   @Test
   void changesApplyInOrderAndAGapIsSeen() {
-    assertEquals(Taken.CHANGED, list.take(full(4, entry("a", 1, State.IN_SERVICE, 0)), 0));
-    assertEquals(Taken.OLD, list.take(change(3, entry("b", 2, State.IN_SERVICE, 0)), 0));
-    assertEquals(Taken.GAP, list.take(change(5, entry("b", 2, State.IN_SERVICE, 0)), 0));
+    assertEquals(Taken.CHANGED, list.take(full(4, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 0));
+    assertEquals(Taken.OLD, list.take(change(3, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
+    assertEquals(Taken.GAP, list.take(change(5, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
     assertNull(list.byId("b"));
-    assertEquals(Taken.CHANGED, list.take(change(4, entry("b", 2, State.IN_SERVICE, 0)), 0));
+    assertEquals(
+        Taken.CHANGED, list.take(change(4, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
     assertEquals("b", list.byNumber(2).id());
     assertEquals(5, list.version());
   }
 
   @Test
   void closedSinceIsWhenItWasFirstTold() {
-    list.take(full(1, entry("a", 1, State.IN_SERVICE, 0)), 10);
+    list.take(full(1, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 10);
     assertEquals(Double.POSITIVE_INFINITY, list.closedSince("a"));
-    list.take(change(1, entry("a", 1, State.DRAINING, 0)), 20);
-    list.take(change(2, entry("a", 1, State.GONE, 0)), 30);
+    list.take(change(1, entry("a", 1, ExchangeState.DRAINING, 0)), 20);
+    list.take(change(2, entry("a", 1, ExchangeState.GONE, 0)), 30);
     assertEquals(20, list.closedSince("a"));
-    list.take(change(3, entry("a", 1, State.IN_SERVICE, 0)), 40);
+    list.take(change(3, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 40);
     assertEquals(Double.POSITIVE_INFINITY, list.closedSince("a"));
   }
 
   @Test
   void whatAWholeListLeavesOutIsGone() {
-    list.take(full(1, entry("a", 1, State.IN_SERVICE, 0), entry("b", 2, State.IN_SERVICE, 0)), 0);
-    list.take(full(9, entry("b", 2, State.IN_SERVICE, 0)), 50);
+    list.take(
+        full(
+            1,
+            entry("a", 1, ExchangeState.IN_SERVICE, 0),
+            entry("b", 2, ExchangeState.IN_SERVICE, 0)),
+        0);
+    list.take(full(9, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 50);
     assertNull(list.byNumber(1));
     assertEquals(50, list.closedSince("a"));
   }
 
   @Test
   void theNewestProcessorOfAPlaceCounts() {
-    Entry old = entry("a", 1, State.IN_SERVICE, 0);
-    Entry fresh = entry("c", 1, State.IN_SERVICE, 700);
+    Entry old = entry("a", 1, ExchangeState.IN_SERVICE, 0);
+    Entry fresh = entry("c", 1, ExchangeState.IN_SERVICE, 700);
     list.take(full(1, old, fresh), 0);
     assertEquals("c", list.byNumber(1).id());
     assertEquals("c", list.byDomain("X1").id());
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -7,10 +7,10 @@
 import coveladder.CallPolicy;
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.CallClass;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.State;
 import coveladder.core.AttemptGuard;
 import coveladder.core.AttemptOrder;
 import coveladder.core.CallController;
@@ -141,7 +141,8 @@
               new RecoveryPace(new RecoveryPace.Budget(1_000, 10), 0.3, 10_000),
               2_000);
       controller.start();
-      ExchangeList.Entry far = new ExchangeList.Entry("e1", 1, "x1", "sip:s1", State.IN_SERVICE, 0);
+      ExchangeList.Entry far =
+          new ExchangeList.Entry("e1", 1, "x1", "sip:s1", ExchangeState.IN_SERVICE, 0);
       controller.listNews(new ExchangeList.News(true, 0, 1, List.of(far)));
       recovery.begin();
     }
@@ -343,7 +344,7 @@
     public void onStart(double now) {}
 
     @Override
-    public void onList(double now, ListNews news) {}
+    public void onDirectoryUpdate(double now, DirectoryUpdate news) {}
 
     @Override
     public void onCall(double now, Call call) {
@@ -351,28 +352,28 @@
     }
 
     @Override
-    public void onStands(double now, Stands stands) {}
+    public void onEstablished(double now, Established stands) {}
 
     @Override
-    public void onEnded(double now, Ended ended) {
-      if (!ended.last() && ended.attempt() == 0 && ended.outcome() == Outcome.BUSY) {
+    public void onAttemptEnded(double now, AttemptEnded ended) {
+      if (!ended.callFinished() && ended.attempt() == 0 && ended.outcome() == Outcome.BUSY) {
         actions.send(ended.call(), "e1", 800);
-      } else if (!ended.last()) {
+      } else if (!ended.callFinished()) {
         actions.refuse(ended.call(), 0);
       }
     }
 
     @Override
-    public void onCallerLeft(double now, String call) {}
+    public void onCallerAbandoned(double now, String call) {}
 
     @Override
-    public void onReport(double now, Report report) {}
+    public void onLoadReport(double now, LoadReport report) {}
 
     @Override
     public void onTimer(double now, long label) {}
 
     @Override
-    public void onPeer(double now, int from, byte[] payload) {}
+    public void onPeerMessage(double now, int from, byte[] payload) {}
   }
 
   // ---- The script ---------------------------------------------------------------------------
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFront.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFront.java
@@ -63,8 +63,8 @@
     this.clock = clock;
     this.wires = wires;
     this.window = window(settings.policy().classes());
-    AttemptGuard guard = new AttemptGuard(settings.policy().guard(), settings.grace());
-    int self = settings.policy().self();
+    AttemptGuard guard = new AttemptGuard(settings.policy().guardTime(), settings.grace());
+    int self = settings.policy().localExchange();
     this.controller = new CallController(settings.policy(), this, guard, new Ends(), policies);
     this.switches =
         new SwitchLinks(controller, clock, wires, limits, counters, self, guard, settings.seed());
@@ -79,7 +79,8 @@
   }
 
   private static double window(List<CallPolicy.CallClass> classes) {
-    double longest = classes.stream().mapToDouble(CallPolicy.CallClass::giveUp).max().orElse(0);
+    double longest =
+        classes.stream().mapToDouble(CallPolicy.CallClass::callerTimeout).max().orElse(0);
     return Math.min(LONGEST_WINDOW, longest);
   }
 
@@ -90,7 +91,8 @@
    * are made up.
    */
   private boolean canBeCalled(int number) {
-    return number >= 0 && number < settings.policy().instances() || controller.list().knows(number);
+    return number >= 0 && number < settings.policy().controllerCount()
+        || controller.list().knows(number);
   }
 
   /** Hears which calls are over. */
--- a/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
@@ -56,7 +56,7 @@
   /** Figures as in `x0:12;x1:40;queue:3`; those that cannot be read are not told. */
   static Load load(String text) {
     if (text == null || text.isEmpty()) {
-      return Load.NOTHING;
+      return Load.UNKNOWN;
     }
     Map<String, Double> figures = new HashMap<>();
     for (String figure : text.split(";")) {
--- a/isupfront/src/main/java/coveladder/isupfront/SetUp.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SetUp.java
@@ -111,7 +111,7 @@
       try {
         double left = Double.parseDouble(text);
         MalformedException.expect(
-            left > 0 && left <= LONGEST_WAIT * kind.giveUp(), "time left out of range");
+            left > 0 && left <= LONGEST_WAIT * kind.callerTimeout(), "time left out of range");
         return left;
       } catch (NumberFormatException e) {
         throw new MalformedException("time left is no number");
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -197,7 +197,7 @@
     wire.outs().clear();
     for (Out out : outs) {
       Outcome outcome = wasOpen && out.sent ? Outcome.RESET : Outcome.REFUSED;
-      links.over(out.order, outcome, Reason.NONE, Load.NOTHING);
+      links.over(out.order, outcome, Reason.NONE, Load.UNKNOWN);
     }
   }
 
@@ -256,7 +256,7 @@
     if (waits() && now - heard > checkAfter && !making() && !connectingAgain) {
       check();
     }
-    boolean drains = entry.state() != CallPolicy.State.IN_SERVICE;
+    boolean drains = entry.state() != CallPolicy.ExchangeState.IN_SERVICE;
     double down = drains ? DRAINED_AFTER : DOWN_AFTER;
     if (now - turnedAwaySince > down || silent(now)) {
       gone("cannot be reached");
@@ -355,7 +355,7 @@
   private void send(SwitchWire wire, Out out) {
     if (!links.maySend(id())) {
       wire.outs().remove(out.order.call());
-      links.over(out.order, Outcome.REFUSED, Reason.NONE, Load.NOTHING);
+      links.over(out.order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN);
       return;
     }
     out.sent = true;
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
@@ -1,9 +1,9 @@
 package coveladder.isupfront;
 
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Load;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.State;
 import coveladder.core.AttemptGuard;
 import coveladder.core.AttemptOrder;
 import coveladder.core.CallController;
@@ -99,7 +99,7 @@
       }
     }
     for (ExchangeList.Entry entry : list.entries()) {
-      if (entry.number() != self && entry.state() != State.GONE) {
+      if (entry.number() != self && entry.state() != ExchangeState.GONE) {
         links.computeIfAbsent(entry.id(), id -> new SwitchLink(entry, this)).listed(entry);
       }
     }
@@ -127,7 +127,7 @@
   void start(AttemptOrder order, SetUp setUp) {
     SwitchLink link = links.get(order.first().id());
     if (link == null || setUp == null) {
-      clock.after(0, () -> over(order, Outcome.REFUSED, Reason.NONE, Load.NOTHING));
+      clock.after(0, () -> over(order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN));
       return;
     }
     byCall.put(order.call(), link);
@@ -143,7 +143,7 @@
           0,
           () ->
               controller.attemptOver(
-                  call, attempt, Outcome.CANCELLED, Reason.NONE, 0, Load.NOTHING));
+                  call, attempt, Outcome.CANCELLED, Reason.NONE, 0, Load.UNKNOWN));
     }
   }
 
@@ -190,7 +190,7 @@
   }
 
   void cut(String call, int attempt) {
-    standingOver(call, attempt, Outcome.RESET, Load.NOTHING);
+    standingOver(call, attempt, Outcome.RESET, Load.UNKNOWN);
   }
 
   void figures(String exchange, Load load) {
--- a/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
@@ -37,6 +37,6 @@
     Load unasked = ReportReader.load(new double[] {12, 40, -1}, columns);
     assertEquals(unasked, Outcomes.load("free:12;size:40;hold_back:-1"));
     assertEquals(unasked, Outcomes.load("free:12;size:40;hold_back:x;;:;other:1"));
-    assertEquals(Load.NOTHING, Outcomes.load(""));
+    assertEquals(Load.UNKNOWN, Outcomes.load(""));
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/Script.java
+++ b/isupfront/src/test/java/coveladder/isupfront/Script.java
@@ -27,7 +27,7 @@
   public void onStart(double now) {}
 
   @Override
-  public void onList(double now, ListNews news) {
+  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
     news.entries().forEach(e -> events.add("list " + e.id() + " " + e.state()));
   }
 
@@ -38,12 +38,12 @@
   }
 
   @Override
-  public void onStands(double now, Stands stands) {
+  public void onEstablished(double now, Established stands) {
     events.add("stands " + id(stands.call()));
   }
 
   @Override
-  public void onEnded(double now, Ended ended) {
+  public void onAttemptEnded(double now, AttemptEnded ended) {
     events.add(
         "ended "
             + id(ended.call())
@@ -51,25 +51,25 @@
             + ended.outcome()
             + " "
             + ended.reason()
-            + (ended.last() ? " last" : ""));
-    if (!ended.last()) {
+            + (ended.callFinished() ? " last" : ""));
+    if (!ended.callFinished()) {
       actions.refuse(ended.call(), 250);
     }
   }
 
   @Override
-  public void onCallerLeft(double now, String call) {
+  public void onCallerAbandoned(double now, String call) {
     events.add("left " + id(call));
   }
 
   @Override
-  public void onReport(double now, Report report) {
-    events.add("report " + report.exchange() + " " + report.load().free());
+  public void onLoadReport(double now, LoadReport report) {
+    events.add("report " + report.exchange() + " " + report.load().freeCircuits());
   }
 
   @Override
   public void onTimer(double now, long label) {}
 
   @Override
-  public void onPeer(double now, int from, byte[] payload) {}
+  public void onPeerMessage(double now, int from, byte[] payload) {}
 }
--- a/policy/src/main/java/coveladder/CallPolicy.java
+++ b/policy/src/main/java/coveladder/CallPolicy.java
@@ -3,104 +3,111 @@
 import java.util.List;
 
 /**
- * What a call controller tells its decision module, and what the module may ask of it.
+ * The routing policy of a call controller: the events that it receives and the actions that it may
+ * request.
  *
- * <p>The controller calls one method for each thing that happens, with the clock of that moment in
- * milliseconds; the module answers through the {@link Actions} it was made with, before the method
- * returns. A module is single-threaded, keeps no clock and does no input or output of its own.
+ * <p>The controller calls one method for each event and passes the clock at that moment. The policy
+ * responds through the {@link Actions} given to it at construction, before the method returns. A
+ * policy is single-threaded, reads no clock and does no input or output of its own. All times,
+ * durations and clock values are in milliseconds.
  */
 public interface CallPolicy {
 
-  /** Called once, first, when the controller starts. */
+  /** Called once, before any other event, when the controller starts. */
   void onStart(double now);
 
-  /** The list of exchanges changed, or could not be had. */
-  void onList(double now, ListNews news);
+  /** The exchange directory changed, or could not be fetched. */
+  void onDirectoryUpdate(double now, DirectoryUpdate update);
 
-  /** A call was handed to this controller, which owes it one final answer from now on. */
+  /** A call arrived at this controller, which must give it exactly one final answer. */
   void onCall(double now, Call call);
 
-  /** An attempt was answered: the call stands. */
-  void onStands(double now, Stands stands);
+  /** An attempt was answered: the call is established. */
+  void onEstablished(double now, Established established);
 
-  /** An attempt ended; exactly one of these comes for each attempt. */
-  void onEnded(double now, Ended ended);
+  /** An attempt ended; called exactly once for each attempt. */
+  void onAttemptEnded(double now, AttemptEnded ended);
 
-  /** The caller left, or its time is up: nothing is owed any more. */
-  void onCallerLeft(double now, String call);
+  /** The caller abandoned the call, or its patience ran out: no final answer is due any more. */
+  void onCallerAbandoned(double now, String call);
 
-  /** A load report came, asked for or not. */
-  void onReport(double now, Report report);
+  /** A load report arrived, as the reply to a probe or unsolicited. */
+  void onLoadReport(double now, LoadReport report);
 
-  /** A timer set through {@link Actions#wake} ran out. */
+  /** A timer started through {@link Actions#startTimer} expired. */
   void onTimer(double now, long label);
 
-  /** A message from another controller came. */
-  void onPeer(double now, int from, byte[] payload);
+  /** A message from another controller arrived. */
+  void onPeerMessage(double now, int from, byte[] payload);
 
-  /** What the module asks of its controller. */
+  /** The actions that a policy may request from its controller. */
   interface Actions {
 
-    /** Sends a set-up to an exchange; it times out after {@code within} milliseconds. */
-    void send(String call, String exchange, double within);
+    /** Sends a set-up to an exchange; the attempt times out after {@code timeoutMillis}. */
+    void send(String call, String exchange, double timeoutMillis);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an outstanding attempt. */
     void cancel(String call, int attempt);
 
-    /** Final answer: refused; the caller is asked to stay away so long (0: no word on it). */
-    void refuse(String call, double comeBack);
+    /**
+     * Gives the final answer "refused".
+     *
+     * @param retryAfterMillis time that the caller is asked to wait before it retries; 0: no
+     *     request
+     */
+    void refuse(String call, double retryAfterMillis);
 
-    /** Final answer: given up. */
+    /** Gives the final answer "failed". */
     void fail(String call);
 
-    /** Asks for {@link CallPolicy#onTimer} with this label after a delay in milliseconds. */
-    void wake(double delay, long label);
+    /** Starts a timer that calls {@link CallPolicy#onTimer} with this label when it expires. */
+    void startTimer(double delayMillis, long label);
 
-    /** Asks an exchange for its load report. Only where the settings permit it. */
+    /** Requests a load report from an exchange, if {@link Settings#mayProbe} permits it. */
     void probe(String exchange);
 
-    /** Sends a message to all other controllers. Only where the settings permit it. */
-    void tell(byte[] payload);
+    /** Sends a message to all other controllers, if {@link Settings#mayBroadcast} permits it. */
+    void broadcast(byte[] payload);
 
-    /** Asks for the changes of the exchange list from now on. */
-    void subscribe();
+    /** Subscribes to changes of the exchange directory. */
+    void subscribeToDirectory();
   }
 
-  /** How the servers are joined: circuit groups between exchanges, or pools of agents. */
+  /** The network topology: circuit groups between exchanges, or pools of agents. */
   enum Layout {
     /** Every exchange has circuit groups to others, and calls may pass through a tandem. */
     MESH,
-    /** Pools of agents that all controllers share; no call is in transit. */
+    /** All controllers share pools of agents; no call is in transit. */
     POOLS
   }
 
-  /** What the list says of an exchange. */
-  enum State {
-    /** Takes calls. */
+  /** The state of an exchange according to the directory. */
+  enum ExchangeState {
+    /** Accepts calls. */
     IN_SERVICE,
-    /** Finishes what it has; nothing new may be sent there. */
+    /** Completes its present calls; no new set-up may be sent to it. */
     DRAINING,
-    /** Withdrawn. */
+    /** Withdrawn from service. */
     GONE
   }
 
   /** How an attempt ended. */
   enum Outcome {
-    /** The call stood and came to its end. */
+    /** The call was established and ended normally. */
     DONE,
-    /** A signalling fault, or all lines of the number busy. */
+    /** A signalling fault, or all lines of the called number were busy. */
     ERROR,
-    /** Not set up: no circuit, turned back, or a processor was full. */
+    /** Not set up: no free circuit, cranked back by a tandem, or a processor was full. */
     BUSY,
     /** No answer in time. */
     TIMED_OUT,
     /** The exchange could not be reached. */
     REFUSED,
-    /** Cut. */
+    /** The connection was reset, or the established call was disconnected. */
     RESET,
-    /** Called off. */
+    /** Cancelled by the controller. */
     CANCELLED,
-    /** Never sent. */
+    /** The attempt was never sent. */
     SKIPPED
   }
 
@@ -110,41 +117,41 @@
     NONE,
     /** No free circuit or agent. */
     NO_CIRCUIT,
-    /** Turned back by the tandem. */
+    /** Cranked back by the tandem. */
     TURNED_BACK,
-    /** Turned back because the processor beyond the tandem was full. */
+    /** Cranked back because the processor beyond the tandem was full. */
     FULL_BEYOND,
-    /** The processor was full; with a skipped attempt, the own processor is down. */
+    /** The processor was full; for a skipped attempt: the local processor is down. */
     PROCESSOR_FULL,
-    /** Every line of the number is busy. */
+    /** Every line of the called number is busy. */
     NUMBER_BUSY
   }
 
   /**
    * A class of calls.
    *
-   * @param worth what a call that stands in time is worth
-   * @param lateWorth the share of it that a late call earns
-   * @param aim the time within which a call should stand, ms
-   * @param giveUp how long a caller keeps trying, ms
-   * @param width circuits taken on each group
-   * @param hold mean duration of a call, ms
-   * @param pools numbers of the pools that it may use; empty: all
-   * @param repeatFor how long after an attempt that may have run another may leave, ms; infinite
-   *     where the class is safe to repeat, 0 where it is not
-   * @param anywhere whether that other may go to any exchange, and a caller may be told to try
-   *     again; else it goes where the first went, or the call fails
+   * @param worth value of a call that is established within {@code aim}
+   * @param lateWorth share of {@code worth} that a call established later earns, 0 to 1
+   * @param aim target set-up time, ms
+   * @param callerTimeout time over which a caller keeps trying, ms
+   * @param width circuits seized on each circuit group
+   * @param hold mean holding time of a call, ms
+   * @param pools numbers of the pools that the class may use; empty: all
+   * @param repeatWindow time after an attempt that may have taken effect during which another may
+   *     be sent, ms; infinite if the class is safe to repeat, 0 if it is not
+   * @param repeatAnywhere whether such a repeat may go to any exchange and the caller may be asked
+   *     to retry; otherwise the repeat goes to the exchange of the first attempt, or the call fails
    */
   record CallClass(
       double worth,
       double lateWorth,
       double aim,
-      double giveUp,
+      double callerTimeout,
       int width,
       double hold,
       List<Integer> pools,
-      double repeatFor,
-      boolean anywhere) {
+      double repeatWindow,
+      boolean repeatAnywhere) {
     /** A class that is safe to repeat. */
     public CallClass(
         double worth,
@@ -157,72 +164,73 @@
       this(worth, lateWorth, aim, giveUp, width, hold, pools, Double.POSITIVE_INFINITY, true);
     }
 
-    /** Checks the figures. */
+    /** Checks that the values are in range. */
     public CallClass {
       Settings.require(worth >= 0, "worth", worth);
       Settings.require(lateWorth >= 0 && lateWorth <= 1, "lateWorth", lateWorth);
       Settings.require(aim > 0, "aim", aim);
-      Settings.require(giveUp > 0, "giveUp", giveUp);
+      Settings.require(callerTimeout > 0, "giveUp", callerTimeout);
       Settings.require(width >= 1, "width", width);
       Settings.require(hold > 0, "hold", hold);
-      Settings.require(repeatFor >= 0, "repeatFor", repeatFor);
+      Settings.require(repeatWindow >= 0, "repeatFor", repeatWindow);
       pools = List.copyOf(pools);
     }
   }
 
   /**
-   * What a module is told at start.
+   * The settings that a policy is constructed with.
    *
-   * @param layout mesh or pools
-   * @param self number of the own exchange; -1 with pools
-   * @param instances how many controllers there are
+   * @param layout network topology
+   * @param localExchange number of the local exchange; -1 with pools
+   * @param controllerCount number of controllers
    * @param classes the call classes, in the order of their numbers
-   * @param resolution shortest gap between two events' clocks, ms
-   * @param maxAttempts most attempts of one call
+   * @param clockResolution shortest difference between the clocks of two events, ms
+   * @param maxAttempts maximum number of attempts for one call
    * @param mayCancel whether attempts may be cancelled
    * @param mayProbe whether exchanges may be probed
-   * @param mayTell whether controllers may send each other messages
-   * @param maxComeBack longest wait that a refused caller follows, ms; 0: no such word
-   * @param listByAsking whether the exchange list must be asked for
-   * @param guard wait after a time-out, reset or cancel before the call is sent again, ms
-   * @param retransmit a waiting set-up is repeated after this, ms; 0: never
-   * @param coldFrom share of its capacity at which a started processor begins
-   * @param ramp a started processor is warm after this, ms
-   * @param fallMultiple multiple of its present capacity that a cold processor bears
-   * @param fall length of the window over which that is counted, ms
+   * @param mayBroadcast whether controllers may send each other messages
+   * @param maxRetryAfter longest retry delay that a refused caller observes, ms; 0: callers cannot
+   *     be asked to wait
+   * @param directoryOnRequest whether the policy must subscribe to the exchange directory
+   * @param guardTime time after a time-out, reset or cancel before the call is sent again, ms
+   * @param retransmitInterval time after which a pending set-up is retransmitted, ms; 0: never
+   * @param coldStartShare share of its capacity at which a processor starts
+   * @param rampTime time from its start until a processor has its full capacity, ms
+   * @param coldLoadMultiple multiple of its present capacity that a cold processor can bear
+   * @param coldLoadWindow length of the window over which that load is counted, ms
    */
   record Settings(
       Layout layout,
-      int self,
-      int instances,
+      int localExchange,
+      int controllerCount,
       List<CallClass> classes,
-      double resolution,
+      double clockResolution,
       int maxAttempts,
       boolean mayCancel,
       boolean mayProbe,
-      boolean mayTell,
-      double maxComeBack,
-      boolean listByAsking,
-      double guard,
-      double retransmit,
-      double coldFrom,
-      double ramp,
-      double fallMultiple,
-      double fall) {
-    /** Checks the figures. */
+      boolean mayBroadcast,
+      double maxRetryAfter,
+      boolean directoryOnRequest,
+      double guardTime,
+      double retransmitInterval,
+      double coldStartShare,
+      double rampTime,
+      double coldLoadMultiple,
+      double coldLoadWindow) {
+    /** Checks that the values are in range. */
     public Settings {
       require(layout != null, "layout", layout);
-      require(instances >= 1, "instances", instances);
+      require(controllerCount >= 1, "instances", controllerCount);
       require(!classes.isEmpty(), "classes", classes);
-      require(resolution > 0, "resolution", resolution);
+      require(clockResolution > 0, "resolution", clockResolution);
       require(maxAttempts >= 1, "maxAttempts", maxAttempts);
-      require(maxComeBack >= 0, "maxComeBack", maxComeBack);
-      require(guard >= 0, "guard", guard);
-      require(retransmit >= 0, "retransmit", retransmit);
-      require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
-      require(ramp >= 0, "ramp", ramp);
-      require(fallMultiple > 0, "fallMultiple", fallMultiple);
-      require(fall > 0, "fall", fall);
+      require(maxRetryAfter >= 0, "maxComeBack", maxRetryAfter);
+      require(guardTime >= 0, "guard", guardTime);
+      require(retransmitInterval >= 0, "retransmit", retransmitInterval);
+      require(coldStartShare > 0 && coldStartShare <= 1, "coldFrom", coldStartShare);
+      require(rampTime >= 0, "ramp", rampTime);
+      require(coldLoadMultiple > 0, "fallMultiple", coldLoadMultiple);
+      require(coldLoadWindow > 0, "fall", coldLoadWindow);
       classes = List.copyOf(classes);
     }
 
@@ -234,36 +242,36 @@
   }
 
   /**
-   * One line of the exchange list.
+   * An entry of the exchange directory.
    *
-   * @param id the exchange's id
-   * @param number its number
-   * @param state what the list says of it
-   * @param started clock of its last start; 0: long ago
+   * @param id id of the exchange
+   * @param number number of the exchange
+   * @param state state of the exchange
+   * @param startedAt clock of its last start, ms; 0: long ago
    */
-  record Exchange(String id, int number, State state, double started) {}
+  record Exchange(String id, int number, ExchangeState state, double startedAt) {}
 
   /**
-   * News of the list.
+   * An update of the exchange directory.
    *
-   * @param failed the list could not be had; the old one stays
-   * @param complete the entries are the whole list
-   * @param entries the lines, or those that changed
+   * @param failed whether the directory could not be fetched; the previous one stays in force
+   * @param complete whether the entries are the whole directory
+   * @param entries all entries, or those that changed
    */
-  record ListNews(boolean failed, boolean complete, List<Exchange> entries) {}
+  record DirectoryUpdate(boolean failed, boolean complete, List<Exchange> entries) {}
 
   /**
-   * A call.
+   * A call to be routed.
    *
-   * @param id the call's id
-   * @param type number of its class
-   * @param patience time until the caller gives up this try, ms
-   * @param width circuits taken on each group
-   * @param number the number called
-   * @param destination number of the exchange, or of the pool of first choice
-   * @param transit whether it was forwarded here by another controller
-   * @param redial whether the caller marked it as a repeat
-   * @param returned whether it stood before, was cut and comes again
+   * @param id id of the call
+   * @param type number of its call class
+   * @param patience time until the caller abandons this try, ms
+   * @param width circuits seized on each circuit group
+   * @param number the called number
+   * @param destination number of the destination exchange, or of the first-choice pool
+   * @param transit whether another controller forwarded the call here
+   * @param redial whether the caller marked the call as a repeat
+   * @param returned whether the call was established before, was disconnected and is made again
    */
   record Call(
       String id,
@@ -277,71 +285,71 @@
       boolean returned) {}
 
   /**
-   * A call stands.
+   * A call was established.
    *
-   * @param call the call's id
-   * @param attempt number of the attempt
-   * @param spent time since it was sent, ms
+   * @param call id of the call
+   * @param attempt number of the answered attempt
+   * @param elapsed time since the attempt was sent, ms
    */
-  record Stands(String call, int attempt, double spent) {}
+  record Established(String call, int attempt, double elapsed) {}
 
   /**
    * An attempt ended.
    *
-   * @param call the call's id
+   * @param call id of the call
    * @param attempt number of the attempt
-   * @param exchange id of the exchange that it was sent to
-   * @param outcome how it ended
-   * @param reason why it was not set up
-   * @param askedWait time that a full processor asks for, ms; 0: none named
-   * @param spent time since it was sent, ms
-   * @param last whether nothing more is owed to the call
-   * @param load the report that came with it
+   * @param exchange id of the exchange that the attempt was sent to
+   * @param outcome how the attempt ended
+   * @param reason why the attempt was not set up
+   * @param requestedWait waiting time that a full processor asks for, ms; 0: none given
+   * @param elapsed time since the attempt was sent, ms
+   * @param callFinished whether no final answer is due to the call any more
+   * @param load the load figures that came with it
    */
-  record Ended(
+  record AttemptEnded(
       String call,
       int attempt,
       String exchange,
       Outcome outcome,
       Reason reason,
-      double askedWait,
-      double spent,
-      boolean last,
+      double requestedWait,
+      double elapsed,
+      boolean callFinished,
       Load load) {}
 
   /**
-   * A load report by itself.
+   * A load report that did not come with the end of an attempt.
    *
    * @param exchange id of the exchange
-   * @param good whether the exchange answered
-   * @param spent time since it was asked, ms; 0: not asked for
-   * @param load the figures
+   * @param answered whether the exchange answered
+   * @param elapsed time since the probe was sent, ms; 0: unsolicited
+   * @param load the load figures
    */
-  record Report(String exchange, boolean good, double spent, Load load) {}
+  record LoadReport(String exchange, boolean answered, double elapsed, Load load) {}
 
   /**
-   * Load figures; each is NaN where the report has none.
+   * Load figures of an exchange; a figure that was not reported is NaN.
    *
-   * @param free free circuits toward the exchange, true at that moment
-   * @param size circuits of that group
-   * @param working messages being worked on at its processor
-   * @param queued messages waiting there
-   * @param busyShare share of the processor that is busy
-   * @param procWait wait at the processor, ms
-   * @param canTake set-ups a second that it can take from all senders
-   * @param holdBack share of set-ups that it asks each sender to hold back
+   * @param freeCircuits free circuits toward the exchange, exact at the time of the report
+   * @param groupSize number of circuits in that circuit group
+   * @param inProgress messages that its processor is handling
+   * @param queued messages that wait for its processor
+   * @param utilization share of the processor that is busy
+   * @param processorWait waiting time at the processor, ms
+   * @param maxSetupRate set-ups per second that it can accept from all senders together
+   * @param requestedReduction share of its set-ups that each sender is asked to hold back
    */
   record Load(
-      double free,
-      double size,
-      double working,
+      double freeCircuits,
+      double groupSize,
+      double inProgress,
       double queued,
-      double busyShare,
-      double procWait,
-      double canTake,
-      double holdBack) {
-    /** A report that says nothing. */
-    public static final Load NOTHING =
+      double utilization,
+      double processorWait,
+      double maxSetupRate,
+      double requestedReduction) {
+    /** Load figures of which none was reported. */
+    public static final Load UNKNOWN =
         new Load(
             Double.NaN,
             Double.NaN,
--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -171,7 +171,8 @@
     this.cheapest = settings.classes().stream().mapToDouble(CallClass::worth).min().orElse(0);
     double half =
         SLOW_SHARE * settings.classes().stream().mapToDouble(CallClass::aim).min().orElse(0);
-    this.slow = settings.retransmit() > 0 ? Math.min(settings.retransmit(), half) : half;
+    this.slow =
+        settings.retransmitInterval() > 0 ? Math.min(settings.retransmitInterval(), half) : half;
   }
 
   // ---- Events -------------------------------------------------------------------------------
@@ -180,21 +181,21 @@
   public void onStart(double now) {
     started = now;
     seen = now;
-    actions.wake(PERIOD, PERIODIC);
-    actions.wake(BEAT, HEARTBEAT);
-    if (settings.listByAsking()) {
-      actions.subscribe();
+    actions.startTimer(PERIOD, PERIODIC);
+    actions.startTimer(BEAT, HEARTBEAT);
+    if (settings.directoryOnRequest()) {
+      actions.subscribeToDirectory();
     }
   }
 
   @Override
-  public void onList(double now, ListNews news) {
+  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
     notice(now);
     if (news.complete()) {
       list.clear();
     }
     for (Exchange entry : news.entries()) {
-      if (entry.state() == State.GONE) {
+      if (entry.state() == ExchangeState.GONE) {
         list.remove(entry.id());
       } else {
         list.put(entry.id(), entry);
@@ -203,11 +204,11 @@
     fars.values().forEach(far -> far.current = null);
     for (Exchange entry : list.values()) {
       Far far = far(entry.number());
-      boolean newer = far.current == null || far.current.started() < entry.started();
-      if (entry.state() == State.IN_SERVICE && newer) {
+      boolean newer = far.current == null || far.current.startedAt() < entry.startedAt();
+      if (entry.state() == ExchangeState.IN_SERVICE && newer) {
         far.current = entry;
-        far.since = entry.started() > far.since ? now : far.since;
-        far.sends.removeIf(sent -> sent < entry.started());
+        far.since = entry.startedAt() > far.since ? now : far.since;
+        far.sends.removeIf(sent -> sent < entry.startedAt());
       }
     }
     others.clear();
@@ -224,7 +225,7 @@
     }
     Held held = new Held(call, settings.classes().get(call.type()), sequence++);
     calls.put(call.id(), held);
-    held.finalBy = now + Math.max(0, call.patience() - FINAL_STEPS * settings.resolution());
+    held.finalBy = now + Math.max(0, call.patience() - FINAL_STEPS * settings.clockResolution());
     held.aimBy = Math.min(held.finalBy, now + aimLeft(held));
     wake(held, held.finalBy - now);
     count(now, call);
@@ -236,7 +237,7 @@
   }
 
   @Override
-  public void onStands(double now, Stands stands) {
+  public void onEstablished(double now, Established stands) {
     notice(now);
     Held held = calls.get(stands.call());
     if (held != null && held.out != null && held.out.number == stands.attempt()) {
@@ -246,13 +247,13 @@
       if (held.overflowed) {
         far(held.call.destination()).carried++;
       }
-      answered(now, held.out, Math.max(0, stands.spent() - stall), held.out.ends);
+      answered(now, held.out, Math.max(0, stands.elapsed() - stall), held.out.ends);
       serveLine(now, false);
     }
   }
 
   @Override
-  public void onEnded(double now, Ended ended) {
+  public void onAttemptEnded(double now, AttemptEnded ended) {
     notice(now);
     learnCircuits(ended.exchange(), ended.load());
     Held held = calls.get(ended.call());
@@ -263,7 +264,7 @@
   }
 
   @Override
-  public void onCallerLeft(double now, String call) {
+  public void onCallerAbandoned(double now, String call) {
     Held held = calls.get(call);
     if (held != null) {
       finish(held);
@@ -271,7 +272,7 @@
   }
 
   @Override
-  public void onReport(double now, Report report) {
+  public void onLoadReport(double now, LoadReport report) {
     notice(now);
     if (learnCircuits(report.exchange(), report.load())) {
       serveLine(now, false);
@@ -282,10 +283,10 @@
   public void onTimer(double now, long label) {
     notice(now);
     if (label == HEARTBEAT) {
-      actions.wake(BEAT, HEARTBEAT);
+      actions.startTimer(BEAT, HEARTBEAT);
     } else if (label == PERIODIC) {
       recompute(now);
-      actions.wake(PERIOD, PERIODIC);
+      actions.startTimer(PERIOD, PERIODIC);
     }
     Held held = timers.remove(label);
     boolean waits = held != null && !held.finished && !held.standing;
@@ -298,7 +299,7 @@
   }
 
   @Override
-  public void onPeer(double now, int from, byte[] payload) {
+  public void onPeerMessage(double now, int from, byte[] payload) {
     // The module sends no messages, so any that comes is not meant for this version.
   }
 
@@ -341,7 +342,7 @@
   private void wake(Held held, double delay) {
     long label = ++sequence;
     timers.put(label, held);
-    actions.wake(Math.max(0, delay), label);
+    actions.startTimer(Math.max(0, delay), label);
   }
 
   // ---- Ordinary path ------------------------------------------------------------------------
@@ -528,7 +529,7 @@
         && ownTakes(now, held)
         && held.attempts < settings.maxAttempts()
         && held.repeats(now, first)
-        && first.number != settings.self()
+        && first.number != settings.localExchange()
         && first.current != null
         && destination.current != null
         && first.takes(now, held)
@@ -621,7 +622,7 @@
 
   // ---- Answers of attempts ------------------------------------------------------------------
 
-  private void attemptEnded(double now, Held held, Ended ended) {
+  private void attemptEnded(double now, Held held, AttemptEnded ended) {
     Attempt attempt = held.out;
     held.out = null;
     if (!held.standing) {
@@ -630,14 +631,14 @@
     held.standing = false;
     unanswered -= attempt.answered ? 0 : 1;
     attempt.over();
-    if (ended.last() || held.finished) {
+    if (ended.callFinished() || held.finished) {
       held.finished = true;
       calls.remove(held.call.id());
       return;
     }
     Outcome how = ended.outcome();
     boolean unsure = how == Outcome.TIMED_OUT || how == Outcome.RESET || how == Outcome.CANCELLED;
-    held.guardUntil = unsure ? now + settings.guard() : held.guardUntil;
+    held.guardUntil = unsure ? now + settings.guardTime() : held.guardUntil;
     held.ran = held.ran == null && (unsure || how == Outcome.ERROR) ? attempt : held.ran;
     next(now, held, ended);
   }
@@ -684,8 +685,8 @@
   }
 
   /** What the end of a set-up says of the far ends. */
-  private void judge(double now, Attempt attempt, Ended ended) {
-    double spent = Math.max(0, ended.spent() - stall);
+  private void judge(double now, Attempt attempt, AttemptEnded ended) {
+    double spent = Math.max(0, ended.elapsed() - stall);
     switch (ended.outcome()) {
       // No connection, however quickly told: calls must not run through their attempts on it.
       case REFUSED -> attempt.first.pressed(now, 0);
@@ -697,10 +698,10 @@
       case BUSY -> {
         if (ended.reason() == Reason.PROCESSOR_FULL) {
           if (!learnOwn(now, spent, attempt.first, false)) {
-            attempt.first.pressed(now, ended.askedWait());
+            attempt.first.pressed(now, ended.requestedWait());
           }
         } else if (ended.reason() == Reason.FULL_BEYOND) {
-          attempt.destination.pressed(now, ended.askedWait());
+          attempt.destination.pressed(now, ended.requestedWait());
         } else {
           answered(now, attempt, spent, List.of(attempt.first));
         }
@@ -720,7 +721,7 @@
     }
   }
 
-  private void next(double now, Held held, Ended ended) {
+  private void next(double now, Held held, AttemptEnded ended) {
     if (ended.reason() == Reason.NUMBER_BUSY) {
       crowded.put(held.call.number(), now + CROWDED_MS);
       refuse(held);
@@ -732,7 +733,7 @@
   }
 
   private void refuse(Held held) {
-    if (held.ran != null && !held.kind.anywhere()) {
+    if (held.ran != null && !held.kind.repeatAnywhere()) {
       fail(held);
       return;
     }
@@ -749,7 +750,7 @@
     double crowd = crowded.getOrDefault(held.call.number(), 0.0);
     double wait =
         Math.max(0, Math.max(opens(held), crowd) - seen) + far(held.call.destination()).delay;
-    return Math.min(settings.maxComeBack(), wait);
+    return Math.min(settings.maxRetryAfter(), wait);
   }
 
   private void fail(Held held) {
@@ -786,13 +787,13 @@
   /** Takes over the circuits told; whether more are free, so that a waiting call may go. */
   private boolean learnCircuits(String id, Load load) {
     Exchange entry = list.get(id);
-    if (entry == null || Double.isNaN(load.free()) || Double.isNaN(load.size())) {
+    if (entry == null || Double.isNaN(load.freeCircuits()) || Double.isNaN(load.groupSize())) {
       return false;
     }
     Far far = far(entry.number());
-    boolean more = !(load.free() <= far.free);
-    far.free = load.free();
-    far.size = load.size();
+    boolean more = !(load.freeCircuits() <= far.free);
+    far.free = load.freeCircuits();
+    far.size = load.groupSize();
     return more;
   }
 
@@ -827,7 +828,7 @@
     }
 
     boolean hasGroup() {
-      return number != settings.self() && !(size <= 0);
+      return number != settings.localExchange() && !(size <= 0);
     }
 
     double threshold(Held held) {
@@ -962,13 +963,14 @@
      * This controller's share of what a cold processor bears; under one, one in several windows.
      */
     boolean withinColdBudget(double now) {
-      double capacity = WORK_PER_CALL * ownRate * settings.coldFrom() * settings.fall();
-      double share = settings.fallMultiple() * capacity / settings.instances();
-      double window = settings.fall() / Math.min(1, share);
+      double capacity =
+          WORK_PER_CALL * ownRate * settings.coldStartShare() * settings.coldLoadWindow();
+      double share = settings.coldLoadMultiple() * capacity / settings.controllerCount();
+      double window = settings.coldLoadWindow() / Math.min(1, share);
       while (!sends.isEmpty() && sends.peek() < now - window) {
         sends.poll();
       }
-      boolean cold = current.started() > 0 && now < current.started() + settings.ramp();
+      boolean cold = current.startedAt() > 0 && now < current.startedAt() + settings.rampTime();
       boolean phase = share >= 1 || now >= since + phaseOf * window;
       return !cold || phase && sends.size() + 1 <= Math.max(1, share);
     }
@@ -1001,8 +1003,8 @@
 
     /** Whether a set-up may go there, or anywhere, after one that may have run: none made twice. */
     boolean repeats(double now, Far there) {
-      boolean fits = ran == null || kind.anywhere() || there == null || there == ran.first;
-      return fits && (ran == null || now < ran.sent + kind.repeatFor());
+      boolean fits = ran == null || kind.repeatAnywhere() || there == null || there == ran.first;
+      return fits && (ran == null || now < ran.sent + kind.repeatWindow());
     }
 
     Held(Call call, CallClass kind, long order) {
--- a/policy/src/test/java/coveladder/Bed.java
+++ b/policy/src/test/java/coveladder/Bed.java
@@ -1,18 +1,18 @@
 package coveladder;
 
+import coveladder.CallPolicy.AttemptEnded;
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.CallClass;
-import coveladder.CallPolicy.Ended;
+import coveladder.CallPolicy.DirectoryUpdate;
+import coveladder.CallPolicy.Established;
 import coveladder.CallPolicy.Exchange;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
-import coveladder.CallPolicy.ListNews;
 import coveladder.CallPolicy.Load;
+import coveladder.CallPolicy.LoadReport;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.Report;
 import coveladder.CallPolicy.Settings;
-import coveladder.CallPolicy.Stands;
-import coveladder.CallPolicy.State;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -71,15 +71,15 @@
   }
 
   static Exchange entry(int number, double started) {
-    return new Exchange("x" + number, number, State.IN_SERVICE, started);
+    return new Exchange("x" + number, number, ExchangeState.IN_SERVICE, started);
   }
 
   void list(boolean complete, Exchange... entries) {
-    policy.onList(now, new ListNews(false, complete, List.of(entries)));
+    policy.onDirectoryUpdate(now, new DirectoryUpdate(false, complete, List.of(entries)));
   }
 
   void circuits(int far, int free, int size) {
-    policy.onReport(now, new Report("x" + far, true, 0, load(free, size)));
+    policy.onLoadReport(now, new LoadReport("x" + far, true, 0, load(free, size)));
   }
 
   static Load load(double free, double size) {
@@ -96,7 +96,7 @@
   }
 
   void stands(String id, int attempt, double spent) {
-    policy.onStands(now, new Stands(id, attempt, spent));
+    policy.onEstablished(now, new Established(id, attempt, spent));
   }
 
   void ended(String id, int attempt, int far, Outcome outcome, Reason reason) {
@@ -105,8 +105,9 @@
 
   void ended(String id, int attempt, int far, Outcome outcome, Reason reason, double spent) {
     boolean last = outcome == Outcome.DONE;
-    policy.onEnded(
-        now, new Ended(id, attempt, "x" + far, outcome, reason, 0, spent, last, Load.NOTHING));
+    policy.onAttemptEnded(
+        now,
+        new AttemptEnded(id, attempt, "x" + far, outcome, reason, 0, spent, last, Load.UNKNOWN));
   }
 
   /** Moves the clock on, firing the timers that run out on the way, each at its time. */
--- a/policy/src/test/java/coveladder/ColdFleetTest.java
+++ b/policy/src/test/java/coveladder/ColdFleetTest.java
@@ -91,7 +91,7 @@
   /** Some controllers see several times the mean. */
   private List<Controller> fleet() {
     List<Controller> fleet = new ArrayList<>();
-    for (int i = 0; i < settings.instances(); i++) {
+    for (int i = 0; i < settings.controllerCount(); i++) {
       double part = i % 5 == 0 ? 3 : 0.5;
       fleet.add(new Controller(20_000, callsPerSecond * part, 0));
     }
@@ -106,7 +106,7 @@
     double start = fleet.get(0).bed.now;
     fleet.forEach(one -> one.bed.list(false, Bed.entry(2, start)));
     List<Double> sent = new ArrayList<>();
-    for (double t = 0; t < settings.ramp(); t += STEP) {
+    for (double t = 0; t < settings.rampTime(); t += STEP) {
       if (restarts && t == 3_000) {
         for (int i = 0; i < fleet.size() * 7 / 10; i++) {
           sent.addAll(fleet.get(i).sent);
@@ -116,7 +116,7 @@
       fleet.forEach(Controller::step);
     }
     fleet.forEach(one -> sent.addAll(one.sent));
-    sent.removeIf(t -> t <= start || t >= start + settings.ramp());
+    sent.removeIf(t -> t <= start || t >= start + settings.rampTime());
     return sent;
   }
 
@@ -142,6 +142,6 @@
       }
       all += sent.size();
     }
-    assertTrue(all >= 2 * SEEDS * settings.ramp() / window * budget / 4, "few in all: " + all);
+    assertTrue(all >= 2 * SEEDS * settings.rampTime() / window * budget / 4, "few in all: " + all);
   }
 }
--- a/policy/src/test/java/coveladder/EmbeddingExampleTest.java
+++ b/policy/src/test/java/coveladder/EmbeddingExampleTest.java
@@ -4,11 +4,11 @@
 
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.CallClass;
+import coveladder.CallPolicy.DirectoryUpdate;
 import coveladder.CallPolicy.Exchange;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
-import coveladder.CallPolicy.ListNews;
 import coveladder.CallPolicy.Settings;
-import coveladder.CallPolicy.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -44,9 +44,9 @@
     policy.onStart(0);
     List<Exchange> exchanges =
         List.of(
-            new Exchange("here", 0, State.IN_SERVICE, 0),
-            new Exchange("there", 1, State.IN_SERVICE, 0));
-    policy.onList(0, new ListNews(false, true, exchanges));
+            new Exchange("here", 0, ExchangeState.IN_SERVICE, 0),
+            new Exchange("there", 1, ExchangeState.IN_SERVICE, 0));
+    policy.onDirectoryUpdate(0, new DirectoryUpdate(false, true, exchanges));
     policy.onCall(10, new Call("call-1", 1, 2000, 1, "5550100", 1, false, false, false));
 
     assertEquals(List.of("there"), actions.sentTo("call-1"));
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -7,11 +7,11 @@
 
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.Exchange;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
 import coveladder.CallPolicy.Settings;
-import coveladder.CallPolicy.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -77,22 +77,22 @@
     Settings s = Bed.settings(Layout.MESH, 0);
     return new Settings(
         s.layout(),
-        s.self(),
-        s.instances(),
+        s.localExchange(),
+        s.controllerCount(),
         s.classes(),
-        s.resolution(),
+        s.clockResolution(),
         s.maxAttempts(),
         s.mayCancel(),
         s.mayProbe(),
-        s.mayTell(),
+        s.mayBroadcast(),
         most,
-        s.listByAsking(),
-        s.guard(),
-        s.retransmit(),
-        s.coldFrom(),
-        s.ramp(),
-        s.fallMultiple(),
-        s.fall());
+        s.directoryOnRequest(),
+        s.guardTime(),
+        s.retransmitInterval(),
+        s.coldStartShare(),
+        s.rampTime(),
+        s.coldLoadMultiple(),
+        s.coldLoadWindow());
   }
 
   @Test
@@ -101,7 +101,7 @@
     bed.pass(1000);
     bed.ended("a", 0, 2, Outcome.TIMED_OUT, Reason.NONE, 1000);
     assertEquals(1, bed.asked.answers("a").size(), "the release guard outlasts the aim");
-    bed.list(false, new Exchange("x3", 3, State.GONE, 0));
+    bed.list(false, new Exchange("x3", 3, ExchangeState.GONE, 0));
     bed.call("b", Bed.DEAR, 3);
     assertEquals(1, bed.asked.answers("b").size(), "no exchange to send to");
   }
@@ -132,9 +132,9 @@
     bed.list(true, Bed.entry(0, 0), Bed.entry(2, 0));
     bed.circuits(2, 20, 20);
     bed.call("a", Bed.CHEAP, 2);
-    bed.policy.onEnded(
+    bed.policy.onAttemptEnded(
         bed.now,
-        new CallPolicy.Ended(
+        new CallPolicy.AttemptEnded(
             "a", 0, "x2", Outcome.BUSY, Reason.PROCESSOR_FULL, 2000, 20, false, Bed.load(20, 20)));
     return bed.asked.of("refuse").get(0);
   }
@@ -183,7 +183,7 @@
                 0,
                 4,
                 classes,
-                s.resolution(),
+                s.clockResolution(),
                 4,
                 true,
                 false,
@@ -307,7 +307,7 @@
   }
 
   private double settingsGuard() {
-    return bed.settings.guard();
+    return bed.settings.guardTime();
   }
 
   @Test
@@ -387,7 +387,7 @@
   @Test
   void aCallThatItsCallerLeftIsNotTouchedAgain() {
     bed.call("a", Bed.CHEAP, 2);
-    bed.policy.onCallerLeft(bed.now, "a");
+    bed.policy.onCallerAbandoned(bed.now, "a");
     bed.ended("a", 0, 2, Outcome.BUSY, Reason.NO_CIRCUIT);
     bed.pass(5000);
     assertTrue(bed.asked.answers("a").isEmpty());
@@ -396,9 +396,9 @@
 
   @Test
   void nothingGoesToADrainingOrGoneExchange() {
-    bed.list(false, new Exchange("x2", 2, State.DRAINING, 0));
+    bed.list(false, new Exchange("x2", 2, ExchangeState.DRAINING, 0));
     bed.call("a", Bed.DEAR, 2);
-    bed.list(false, new Exchange("x2", 2, State.GONE, 0));
+    bed.list(false, new Exchange("x2", 2, ExchangeState.GONE, 0));
     bed.call("b", Bed.DEAR, 2);
     bed.pass(3000);
     assertTrue(bed.asked.of("send").isEmpty());
--- a/policy/src/test/java/coveladder/Recorder.java
+++ b/policy/src/test/java/coveladder/Recorder.java
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public void wake(double delay, long label) {
+  public void startTimer(double delay, long label) {
     all.add(new Asked("wake", String.valueOf(label), "", delay));
   }
 
@@ -58,12 +58,12 @@
   }
 
   @Override
-  public void tell(byte[] payload) {
+  public void broadcast(byte[] payload) {
     all.add(new Asked("tell", "", "", payload.length));
   }
 
   @Override
-  public void subscribe() {
+  public void subscribeToDirectory() {
     all.add(new Asked("subscribe", "", "", 0));
   }
 }
--- a/policy/src/test/java/coveladder/RulesTest.java
+++ b/policy/src/test/java/coveladder/RulesTest.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import coveladder.CallPolicy.AttemptEnded;
 import coveladder.CallPolicy.Call;
-import coveladder.CallPolicy.Ended;
+import coveladder.CallPolicy.DirectoryUpdate;
 import coveladder.CallPolicy.Exchange;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
-import coveladder.CallPolicy.ListNews;
 import coveladder.CallPolicy.Load;
+import coveladder.CallPolicy.LoadReport;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.Report;
 import coveladder.CallPolicy.Settings;
-import coveladder.CallPolicy.State;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -42,7 +42,7 @@
   }
 
   private final Map<String, Life> lives = new LinkedHashMap<>();
-  private final Map<String, State> listed = new LinkedHashMap<>();
+  private final Map<String, ExchangeState> listed = new LinkedHashMap<>();
   private final Map<String, Double> started = new LinkedHashMap<>();
   private final Map<String, List<Double>> sends = new LinkedHashMap<>();
   private SplittableRandom random;
@@ -78,7 +78,7 @@
     ownCalls = 0;
     bed = new Bed(Bed.settings(layout, layout == Layout.MESH ? 0 : -1));
     for (int i = 0; i < 5; i++) {
-      change(i, State.IN_SERVICE, 0);
+      change(i, ExchangeState.IN_SERVICE, 0);
     }
   }
 
@@ -86,7 +86,7 @@
     switch (random.nextInt(9)) {
       case 0, 1, 2 -> call();
       case 3 -> leave();
-      case 4 -> change(random.nextInt(5), State.values()[random.nextInt(3)], bed.now);
+      case 4 -> change(random.nextInt(5), ExchangeState.values()[random.nextInt(3)], bed.now);
       case 5 -> report();
       case 6 -> tick(200 * random.nextDouble());
       default -> end();
@@ -118,20 +118,20 @@
     String id = any(life -> !life.over && !life.standing);
     if (id != null) {
       lives.get(id).over = true;
-      bed.policy.onCallerLeft(bed.now, id);
+      bed.policy.onCallerAbandoned(bed.now, id);
     }
   }
 
-  private void change(int number, State state, double start) {
+  private void change(int number, ExchangeState state, double start) {
     String id = "x" + number;
-    if (state == State.GONE) {
+    if (state == ExchangeState.GONE) {
       listed.remove(id);
     } else {
       listed.put(id, state);
       started.put(id, start);
     }
     Exchange entry = new Exchange(id, number, state, start);
-    bed.policy.onList(bed.now, new ListNews(false, false, List.of(entry)));
+    bed.policy.onDirectoryUpdate(bed.now, new DirectoryUpdate(false, false, List.of(entry)));
   }
 
   private void report() {
@@ -139,7 +139,7 @@
     int free = random.nextInt(size + 1);
     Load load = Bed.load(free, size);
     String id = "x" + (1 + random.nextInt(4));
-    bed.policy.onReport(bed.now, new Report(id, true, 0, load));
+    bed.policy.onLoadReport(bed.now, new LoadReport(id, true, 0, load));
   }
 
   private void end() {
@@ -169,17 +169,18 @@
     life.over |= life.standing;
     life.standing = false;
     if (List.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED).contains(outcome)) {
-      life.guardUntil = bed.now + bed.settings.guard();
+      life.guardUntil = bed.now + bed.settings.guardTime();
     }
     Reason reason = Reason.values()[random.nextInt(Reason.values().length)];
-    bed.policy.onEnded(
-        bed.now, new Ended(id, attempt, life.toward, outcome, reason, 0, 100, done, Load.NOTHING));
+    bed.policy.onAttemptEnded(
+        bed.now,
+        new AttemptEnded(id, attempt, life.toward, outcome, reason, 0, 100, done, Load.UNKNOWN));
   }
 
   /** Lets time pass in steps of the clock's resolution, as a controller would. */
   private void tick(double time) {
-    for (double left = time; left > 0; left -= bed.settings.resolution()) {
-      bed.pass(Math.min(left, bed.settings.resolution()));
+    for (double left = time; left > 0; left -= bed.settings.clockResolution()) {
+      bed.pass(Math.min(left, bed.settings.clockResolution()));
       check();
       for (var each : new ArrayList<>(lives.entrySet())) {
         Life life = each.getValue();
@@ -228,7 +229,8 @@
     assertTrue(!life.over, "sent after the end");
     assertEquals(-1, life.out, "two attempts out");
     assertTrue(bed.now >= life.guardUntil, "release not awaited");
-    assertEquals(State.IN_SERVICE, listed.get(action.exchange()), "sent to one that drains");
+    assertEquals(
+        ExchangeState.IN_SERVICE, listed.get(action.exchange()), "sent to one that drains");
     assertTrue(++life.attempts <= s.maxAttempts());
     life.out = life.attempts - 1;
     life.toward = action.exchange();
@@ -241,10 +243,16 @@
     List<Double> sent = sends.computeIfAbsent(exchange, e -> new ArrayList<>());
     sent.add(bed.now);
     double start = started.get(exchange);
-    if (start > 0 && bed.now < start + s.ramp()) {
-      long inWindow = sent.stream().filter(t -> t >= start && t > bed.now - s.fall()).count();
+    if (start > 0 && bed.now < start + s.rampTime()) {
+      long inWindow =
+          sent.stream().filter(t -> t >= start && t > bed.now - s.coldLoadWindow()).count();
       double mostRate = 2.0 * ownCalls / 2000;
-      double share = s.fallMultiple() * s.coldFrom() * mostRate * s.fall() / s.instances();
+      double share =
+          s.coldLoadMultiple()
+              * s.coldStartShare()
+              * mostRate
+              * s.coldLoadWindow()
+              / s.controllerCount();
       assertTrue(inWindow <= Math.max(1, share), "cold exchange over its budget");
     }
   }
@@ -289,10 +297,12 @@
       }
     }
     // What 90 controllers with ten own calls a second make of the cold share of one processor.
-    double budget = many.fallMultiple() * many.coldFrom() * 2 * 10 * many.fall() / 1000;
+    double budget =
+        many.coldLoadMultiple() * many.coldStartShare() * 2 * 10 * many.coldLoadWindow() / 1000;
     for (double end = 20000; end < 29000; end += 500) {
       final double last = end;
-      long inWindow = sent.stream().filter(t -> t > last - many.fall() && t <= last).count();
+      long inWindow =
+          sent.stream().filter(t -> t > last - many.coldLoadWindow() && t <= last).count();
       assertTrue(inWindow <= 1.3 * budget, inWindow + " set-ups against " + budget);
     }
     assertTrue(sent.size() > 20);
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -180,7 +180,7 @@
   }
 
   private SipFront front(SipHost host, FrontSettings settings, CallPolicy.Settings rules) {
-    long own = seed * 1000 + rules.self();
+    long own = seed * 1000 + rules.localExchange();
     return new SipFront(
         host,
         settings,
@@ -188,7 +188,7 @@
         tampering.guard().get(),
         CallController.Journal.NONE,
         tampering.maker(rules, own),
-        lives == null ? null : lives.keeping(controllerName(rules.self()), host));
+        lives == null ? null : lives.keeping(controllerName(rules.localExchange()), host));
   }
 
   private FrontSettings frontSettings(int number) {
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
@@ -1,6 +1,6 @@
 package coveladder.rehearsal;
 
-import coveladder.CallPolicy.State;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.core.CallController;
 import coveladder.core.ExchangeList;
 import coveladder.core.recovery.RecoveryPace;
@@ -92,7 +92,7 @@
     for (int i = 0; i < 4; i++) {
       String domain = "x" + i + ".example";
       String address = "sip:10.9.9." + i + ":5060";
-      entries.add(new ExchangeList.Entry("e" + i, i, domain, address, State.IN_SERVICE, 0));
+      entries.add(new ExchangeList.Entry("e" + i, i, domain, address, ExchangeState.IN_SERVICE, 0));
     }
     front.controller().listNews(new ExchangeList.News(true, 0, 1, entries));
     for (int i = 1; i < 4; i++) {
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -200,8 +200,8 @@
     }
 
     @Override
-    public void onList(double now, ListNews news) {
-      inner.onList(now, news);
+    public void onDirectoryUpdate(double now, DirectoryUpdate news) {
+      inner.onDirectoryUpdate(now, news);
     }
 
     @Override
@@ -210,23 +210,23 @@
     }
 
     @Override
-    public void onStands(double now, Stands stands) {
-      inner.onStands(now, stands);
+    public void onEstablished(double now, Established stands) {
+      inner.onEstablished(now, stands);
     }
 
     @Override
-    public void onEnded(double now, Ended ended) {
-      inner.onEnded(now, ended);
+    public void onAttemptEnded(double now, AttemptEnded ended) {
+      inner.onAttemptEnded(now, ended);
     }
 
     @Override
-    public void onCallerLeft(double now, String call) {
-      inner.onCallerLeft(now, call);
+    public void onCallerAbandoned(double now, String call) {
+      inner.onCallerAbandoned(now, call);
     }
 
     @Override
-    public void onReport(double now, Report report) {
-      inner.onReport(now, report);
+    public void onLoadReport(double now, LoadReport report) {
+      inner.onLoadReport(now, report);
     }
 
     @Override
@@ -235,8 +235,8 @@
     }
 
     @Override
-    public void onPeer(double now, int from, byte[] payload) {
-      inner.onPeer(now, from, payload);
+    public void onPeerMessage(double now, int from, byte[] payload) {
+      inner.onPeerMessage(now, from, payload);
     }
   }
 
@@ -247,11 +247,11 @@
     }
 
     @Override
-    public void onEnded(double now, Ended ended) {
-      if (ended.outcome() == Outcome.RESET && !ended.last()) {
+    public void onAttemptEnded(double now, AttemptEnded ended) {
+      if (ended.outcome() == Outcome.RESET && !ended.callFinished()) {
         actions.send(ended.call(), ended.exchange(), 800);
       } else {
-        inner.onEnded(now, ended);
+        inner.onAttemptEnded(now, ended);
       }
     }
   }
@@ -263,13 +263,14 @@
     }
 
     @Override
-    public void onList(double now, ListNews news) {
+    public void onDirectoryUpdate(double now, DirectoryUpdate news) {
       List<Exchange> seen = new ArrayList<>();
       for (Exchange entry : news.entries()) {
-        State state = entry.state() == State.DRAINING ? State.IN_SERVICE : entry.state();
-        seen.add(new Exchange(entry.id(), entry.number(), state, entry.started()));
+        ExchangeState state =
+            entry.state() == ExchangeState.DRAINING ? ExchangeState.IN_SERVICE : entry.state();
+        seen.add(new Exchange(entry.id(), entry.number(), state, entry.startedAt()));
       }
-      inner.onList(now, new ListNews(news.failed(), news.complete(), seen));
+      inner.onDirectoryUpdate(now, new DirectoryUpdate(news.failed(), news.complete(), seen));
     }
   }
 }
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -40,7 +40,7 @@
   private Serve(Path file, PlatformSettings settings) throws IOException {
     this.file = file;
     this.loop = new EventLoop("controller", LoopClock.unixOrigin(), QUEUE);
-    Limits limits = Limits.within(settings.descriptors(), settings.policy().instances());
+    Limits limits = Limits.within(settings.descriptors(), settings.policy().controllerCount());
     this.wires = new SocketWires(Sockets.streamsOnly(1), loop, bounds(settings, limits));
     this.front =
         new IsupFront(
--- a/simhost/src/main/java/coveladder/simhost/EventReader.java
+++ b/simhost/src/main/java/coveladder/simhost/EventReader.java
@@ -1,14 +1,14 @@
 package coveladder.simhost;
 
+import coveladder.CallPolicy.AttemptEnded;
 import coveladder.CallPolicy.Call;
-import coveladder.CallPolicy.Ended;
+import coveladder.CallPolicy.DirectoryUpdate;
+import coveladder.CallPolicy.Established;
 import coveladder.CallPolicy.Exchange;
-import coveladder.CallPolicy.ListNews;
 import coveladder.CallPolicy.Load;
+import coveladder.CallPolicy.LoadReport;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.Report;
-import coveladder.CallPolicy.Stands;
 import coveladder.wire.Fields;
 import coveladder.wire.ReportReader;
 import coveladder.wire.WireException;
@@ -27,10 +27,10 @@
         f.number("startTime", 0));
   }
 
-  static ListNews news(Fields f, Map<Integer, List<Exchange>> manifests) {
+  static DirectoryUpdate news(Fields f, Map<Integer, List<Exchange>> manifests) {
     String mode = f.text("mode");
     if (mode.equals("failed")) {
-      return new ListNews(true, false, List.of());
+      return new DirectoryUpdate(true, false, List.of());
     }
     if (!List.of("delta", "full", "cached").contains(mode)) {
       throw new WireException("VIEW has unknown mode=" + mode);
@@ -39,7 +39,7 @@
     if (entries == null) {
       throw new WireException("VIEW names page=" + f.text("page") + ", never sent");
     }
-    return new ListNews(false, !mode.equals("delta"), List.copyOf(entries));
+    return new DirectoryUpdate(false, !mode.equals("delta"), List.copyOf(entries));
   }
 
   static Call call(Fields f) {
@@ -55,15 +55,15 @@
         f.flag("returned"));
   }
 
-  static Stands stands(Fields f) {
-    return new Stands(f.text("handle"), f.small("trial"), f.number("spent"));
+  static Established stands(Fields f) {
+    return new Established(f.text("handle"), f.small("trial"), f.number("spent"));
   }
 
-  static Ended ended(Fields f, String[] columns) {
+  static AttemptEnded ended(Fields f, String[] columns) {
     Outcome outcome = outcome(f.text("ending"));
     int note = f.small("note", 0);
     Reason reason = ReportReader.reason(note);
-    return new Ended(
+    return new AttemptEnded(
         f.text("handle"),
         f.small("trial"),
         f.text("switch"),
@@ -75,9 +75,9 @@
         load(f, columns));
   }
 
-  static Report report(Fields f, String[] columns) {
+  static LoadReport report(Fields f, String[] columns) {
     boolean good = f.text("ending").equals("done");
-    return new Report(f.text("switch"), good, f.number("spent", 0), load(f, columns));
+    return new LoadReport(f.text("switch"), good, f.number("spent", 0), load(f, columns));
   }
 
   private static Outcome outcome(String word) {
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -54,7 +54,7 @@
       case "ROW" -> manifest.add(EventReader.exchange(f));
       case "VIEW" -> {
         var news = EventReader.news(f, manifests);
-        deliver(f, (policy, host) -> policy.onList(now, news));
+        deliver(f, (policy, host) -> policy.onDirectoryUpdate(now, news));
       }
       case "CALL" -> {
         var call = EventReader.call(f);
@@ -62,24 +62,26 @@
       }
       case "HEADERS" -> {
         var stands = EventReader.stands(f);
-        deliver(f, (policy, host) -> policy.onStands(now, stands));
+        deliver(f, (policy, host) -> policy.onEstablished(now, stands));
       }
       case "CLOSED_ATTEMPT" ->
-          deliver(f, (policy, host) -> policy.onEnded(now, EventReader.ended(f, host.columns)));
+          deliver(
+              f, (policy, host) -> policy.onAttemptEnded(now, EventReader.ended(f, host.columns)));
       case "CANCELLED_BY_CLIENT" -> {
         String call = f.text("handle");
-        deliver(f, (policy, host) -> policy.onCallerLeft(now, call));
+        deliver(f, (policy, host) -> policy.onCallerAbandoned(now, call));
       }
       case "TIMEOUT_FIRED" -> {
         long label = f.whole("label");
         deliver(f, (policy, host) -> policy.onTimer(now, label));
       }
       case "STATUS_BACK" ->
-          deliver(f, (policy, host) -> policy.onReport(now, EventReader.report(f, host.columns)));
+          deliver(
+              f, (policy, host) -> policy.onLoadReport(now, EventReader.report(f, host.columns)));
       case "PEER" -> {
         int author = f.small("author");
         byte[] payload = payload(f.text("payload", "-"));
-        deliver(f, (policy, host) -> policy.onPeer(now, author, payload));
+        deliver(f, (policy, host) -> policy.onPeerMessage(now, author, payload));
       }
       default -> {}
     }
--- a/simhost/src/main/java/coveladder/simhost/WireActions.java
+++ b/simhost/src/main/java/coveladder/simhost/WireActions.java
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public void wake(double delay, long label) {
+  public void startTimer(double delay, long label) {
     begin("WAKE_AT").append(" sleepFor=").append(delay).append(" label=").append(label);
     reply.append('\n');
   }
@@ -52,13 +52,13 @@
   }
 
   @Override
-  public void tell(byte[] payload) {
+  public void broadcast(byte[] payload) {
     String text = payload.length == 0 ? "-" : Base64.getEncoder().encodeToString(payload);
     begin("BROADCAST_TO").append(" dst=all payload=").append(text).append('\n');
   }
 
   @Override
-  public void subscribe() {
+  public void subscribeToDirectory() {
     begin("OBSERVE").append(" want=1\n");
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/FeedBodies.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FeedBodies.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import coveladder.CallPolicy.State;
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.core.ExchangeList;
 import java.util.ArrayList;
 import java.util.List;
@@ -65,11 +65,11 @@
         age < 0 ? 0 : Math.max(1, now - age));
   }
 
-  private static State state(String word, String path) throws BadBody {
+  private static ExchangeState state(String word, String path) throws BadBody {
     return switch (word) {
-      case "in-service" -> State.IN_SERVICE;
-      case "draining" -> State.DRAINING;
-      case "gone" -> State.GONE;
+      case "in-service" -> ExchangeState.IN_SERVICE;
+      case "draining" -> ExchangeState.DRAINING;
+      case "gone" -> ExchangeState.GONE;
       default ->
           throw new BadBody(path + "state is " + word + ", not in-service, draining or gone");
     };
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -107,7 +107,8 @@
       this.legs = new SavedLegs(this, keeping.clock());
       double life = settings.timing().life();
       this.writeAhead = new WriteAhead(this, legs, keeping.store(), life);
-      RecoveryPace pace = new RecoveryPace(keeping.budget(), rules.coldFrom(), rules.ramp());
+      RecoveryPace pace =
+          new RecoveryPace(keeping.budget(), rules.coldStartShare(), rules.rampTime());
       CallController.Journal both = new KeepingJournal(journal, writeAhead, pace, clock);
       this.controller = new CallController(rules, writeAhead, guard, both, policies);
       writeAhead.controller(controller);
@@ -475,11 +476,13 @@
   @Override
   public void tell(byte[] payload) {
     for (ExchangeList.Entry entry : controller.list().entries()) {
-      if (entry.number() != controller.settings().self()) {
+      if (entry.number() != controller.settings().localExchange()) {
         SipRequest message = request("MESSAGE", "sip:controller@" + entry.domain());
         Hop own = settings.ownSwitch();
         message.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
-        message.set("From", "<sip:" + controller.settings().self() + '@' + settings.domain() + '>');
+        message.set(
+            "From",
+            "<sip:" + controller.settings().localExchange() + '@' + settings.domain() + '>');
         message.set("Content-Type", "application/octet-stream");
         message.body(payload);
         agent().sendAlone(message, own, ClientTransaction.Listener.IGNORE);
@@ -528,7 +531,7 @@
   /** Load figures of the own switch ride on each of its answers. */
   void learnLoad(SipResponse response) {
     LoadReports.Report report = OverloadReport.of(response, host.now());
-    ExchangeList.Entry own = controller.list().byNumber(controller.settings().self());
+    ExchangeList.Entry own = controller.list().byNumber(controller.settings().localExchange());
     if (report != null && own != null) {
       controller.loadReport(own.id(), report);
     }
--- a/wire/src/main/java/coveladder/wire/ReportReader.java
+++ b/wire/src/main/java/coveladder/wire/ReportReader.java
@@ -1,8 +1,8 @@
 package coveladder.wire;
 
+import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Load;
 import coveladder.CallPolicy.Reason;
-import coveladder.CallPolicy.State;
 import java.util.function.ToDoubleFunction;
 
 /** The one mapping of the platform's words for loads, reasons and states to those of the policy. */
@@ -12,7 +12,7 @@
   /** Load figures in the order of the columns that the settings name; below nought: not told. */
   public static Load load(double[] values, String[] columns) {
     if (values.length == 0) {
-      return Load.NOTHING;
+      return Load.UNKNOWN;
     }
     return load(name -> value(name, values, columns));
   }
@@ -68,11 +68,11 @@
   }
 
   /** What the list says of an exchange. */
-  public static State state(String word) {
+  public static ExchangeState state(String word) {
     return switch (word) {
-      case "in_service" -> State.IN_SERVICE;
-      case "terminating" -> State.DRAINING;
-      case "terminated" -> State.GONE;
+      case "in_service" -> ExchangeState.IN_SERVICE;
+      case "terminating" -> ExchangeState.DRAINING;
+      case "terminated" -> ExchangeState.GONE;
       default -> throw new WireException("unknown state=" + word);
     };
   }
