--- a/policy/src/main/java/coveladder/CallPolicy.java
+++ b/policy/src/main/java/coveladder/CallPolicy.java
@@ -193,11 +193,11 @@
    *     be asked to wait
    * @param directoryOnRequest whether the policy must subscribe to the exchange directory
    * @param guardTime time after a time-out, reset or cancel before the call is sent again, ms
-   * @param retransmitInterval time after which a pending set-up is retransmitted, ms; 0: never
-   * @param coldStartShare share of its capacity at which a processor starts
+   * @param retransmitAfter time after which a pending set-up is retransmitted, ms; 0: never
+   * @param coldShare share of its capacity at which a processor starts
    * @param rampTime time from its start until a processor has its full capacity, ms
-   * @param coldLoadMultiple multiple of its present capacity that a cold processor can bear
-   * @param coldLoadWindow length of the window over which that load is counted, ms
+   * @param coldMultiple multiple of its present capacity that a cold processor can bear
+   * @param coldWindow length of the window over which that load is counted, ms
    */
   record Settings(
       Layout layout,
@@ -212,11 +212,11 @@
       double maxRetryAfter,
       boolean directoryOnRequest,
       double guardTime,
-      double retransmitInterval,
-      double coldStartShare,
+      double retransmitAfter,
+      double coldShare,
       double rampTime,
-      double coldLoadMultiple,
-      double coldLoadWindow) {
+      double coldMultiple,
+      double coldWindow) {
     /** Checks that the values are in range. */
     public Settings {
       require(layout != null, "layout", layout);
@@ -226,11 +226,11 @@
       require(maxAttempts >= 1, "maxAttempts", maxAttempts);
       require(maxRetryAfter >= 0, "maxComeBack", maxRetryAfter);
       require(guardTime >= 0, "guard", guardTime);
-      require(retransmitInterval >= 0, "retransmit", retransmitInterval);
-      require(coldStartShare > 0 && coldStartShare <= 1, "coldFrom", coldStartShare);
+      require(retransmitAfter >= 0, "retransmit", retransmitAfter);
+      require(coldShare > 0 && coldShare <= 1, "coldFrom", coldShare);
       require(rampTime >= 0, "ramp", rampTime);
-      require(coldLoadMultiple > 0, "fallMultiple", coldLoadMultiple);
-      require(coldLoadWindow > 0, "fall", coldLoadWindow);
+      require(coldMultiple > 0, "fallMultiple", coldMultiple);
+      require(coldWindow > 0, "fall", coldWindow);
       classes = List.copyOf(classes);
     }
 
--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -171,8 +171,7 @@
     this.cheapest = settings.classes().stream().mapToDouble(CallClass::worth).min().orElse(0);
     double half =
         SLOW_SHARE * settings.classes().stream().mapToDouble(CallClass::aim).min().orElse(0);
-    this.slow =
-        settings.retransmitInterval() > 0 ? Math.min(settings.retransmitInterval(), half) : half;
+    this.slow = settings.retransmitAfter() > 0 ? Math.min(settings.retransmitAfter(), half) : half;
   }
 
   // ---- Events -------------------------------------------------------------------------------
@@ -963,10 +962,9 @@
      * This controller's share of what a cold processor bears; under one, one in several windows.
      */
     boolean withinColdBudget(double now) {
-      double capacity =
-          WORK_PER_CALL * ownRate * settings.coldStartShare() * settings.coldLoadWindow();
-      double share = settings.coldLoadMultiple() * capacity / settings.controllerCount();
-      double window = settings.coldLoadWindow() / Math.min(1, share);
+      double capacity = WORK_PER_CALL * ownRate * settings.coldShare() * settings.coldWindow();
+      double share = settings.coldMultiple() * capacity / settings.controllerCount();
+      double window = settings.coldWindow() / Math.min(1, share);
       while (!sends.isEmpty() && sends.peek() < now - window) {
         sends.poll();
       }
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -88,11 +88,11 @@
         most,
         s.directoryOnRequest(),
         s.guardTime(),
-        s.retransmitInterval(),
-        s.coldStartShare(),
+        s.retransmitAfter(),
+        s.coldShare(),
         s.rampTime(),
-        s.coldLoadMultiple(),
-        s.coldLoadWindow());
+        s.coldMultiple(),
+        s.coldWindow());
   }
 
   @Test
--- a/policy/src/test/java/coveladder/RulesTest.java
+++ b/policy/src/test/java/coveladder/RulesTest.java
@@ -244,15 +244,10 @@
     sent.add(bed.now);
     double start = started.get(exchange);
     if (start > 0 && bed.now < start + s.rampTime()) {
-      long inWindow =
-          sent.stream().filter(t -> t >= start && t > bed.now - s.coldLoadWindow()).count();
+      long inWindow = sent.stream().filter(t -> t >= start && t > bed.now - s.coldWindow()).count();
       double mostRate = 2.0 * ownCalls / 2000;
       double share =
-          s.coldLoadMultiple()
-              * s.coldStartShare()
-              * mostRate
-              * s.coldLoadWindow()
-              / s.controllerCount();
+          s.coldMultiple() * s.coldShare() * mostRate * s.coldWindow() / s.controllerCount();
       assertTrue(inWindow <= Math.max(1, share), "cold exchange over its budget");
     }
   }
@@ -297,12 +292,10 @@
       }
     }
     // What 90 controllers with ten own calls a second make of the cold share of one processor.
-    double budget =
-        many.coldLoadMultiple() * many.coldStartShare() * 2 * 10 * many.coldLoadWindow() / 1000;
+    double budget = many.coldMultiple() * many.coldShare() * 2 * 10 * many.coldWindow() / 1000;
     for (double end = 20000; end < 29000; end += 500) {
       final double last = end;
-      long inWindow =
-          sent.stream().filter(t -> t > last - many.coldLoadWindow() && t <= last).count();
+      long inWindow = sent.stream().filter(t -> t > last - many.coldWindow() && t <= last).count();
       assertTrue(inWindow <= 1.3 * budget, inWindow + " set-ups against " + budget);
     }
     assertTrue(sent.size() > 20);
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -107,8 +107,7 @@
       this.legs = new SavedLegs(this, keeping.clock());
       double life = settings.timing().life();
       this.writeAhead = new WriteAhead(this, legs, keeping.store(), life);
-      RecoveryPace pace =
-          new RecoveryPace(keeping.budget(), rules.coldStartShare(), rules.rampTime());
+      RecoveryPace pace = new RecoveryPace(keeping.budget(), rules.coldShare(), rules.rampTime());
       CallController.Journal both = new KeepingJournal(journal, writeAhead, pace, clock);
       this.controller = new CallController(rules, writeAhead, guard, both, policies);
       writeAhead.controller(controller);
