--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -75,7 +75,8 @@
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("call", System.nanoTime(), 1_000);
         SocketNode node =
-            new SocketNode(sockets, loop, SocketLimits.USUAL, "127.0.0.1", 0, System.nanoTime())) {
+            new SocketNode(
+                sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", 0, System.nanoTime())) {
       OneCall call = new OneCall(node, controller, done);
       loop.start();
       node.start(call);
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -177,11 +177,12 @@
 
   private void gauges() {
     Gauge.builder("coveladder.calls.held", front, f -> f.controller().held()).register(meters);
-    Gauge.builder("coveladder.loop.waiting", loop, EventLoop::waiting).register(meters);
-    Gauge.builder("coveladder.loop.dropped", loop, EventLoop::dropped).register(meters);
-    Gauge.builder("coveladder.loop.faults", loop, EventLoop::faults).register(meters);
-    Gauge.builder("coveladder.connections", node, SocketNode::connections).register(meters);
-    Gauge.builder("coveladder.peers.let.go", node, SocketNode::letGo).register(meters);
+    Gauge.builder("coveladder.loop.waiting", loop, EventLoop::queuedTasks).register(meters);
+    Gauge.builder("coveladder.loop.dropped", loop, EventLoop::droppedTasks).register(meters);
+    Gauge.builder("coveladder.loop.faults", loop, EventLoop::failedTasks).register(meters);
+    Gauge.builder("coveladder.connections", node, SocketNode::connectionCount).register(meters);
+    Gauge.builder("coveladder.peers.let.go", node, SocketNode::overflowDisconnects)
+        .register(meters);
     Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().unreadable())
         .register(meters);
     Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::heldBack).register(meters);
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -241,13 +241,13 @@
   }
 
   private static SocketLimits sockets(Section limits) {
-    SocketLimits usual = SocketLimits.USUAL;
+    SocketLimits usual = SocketLimits.DEFAULTS;
     return new SocketLimits(
-        limits.whole("head-bytes", usual.headBytes(), 1_000, 1 << 20),
-        limits.whole("body-bytes", usual.bodyBytes(), 1_000, 1 << 24),
-        limits.whole("connections", usual.connections(), 1, 1_000_000),
-        limits.whole("waiting-bytes", usual.waitingBytes(), 10_000, 1 << 30),
-        limits.number("connect-within", usual.connectWithin(), 1, 60_000),
-        limits.number("ping-every", usual.pingEvery(), 100, HOUR));
+        limits.whole("head-bytes", usual.maxHeadBytes(), 1_000, 1 << 20),
+        limits.whole("body-bytes", usual.maxBodyBytes(), 1_000, 1 << 24),
+        limits.whole("connections", usual.maxConnections(), 1, 1_000_000),
+        limits.whole("waiting-bytes", usual.maxQueuedBytes(), 10_000, 1 << 30),
+        limits.number("connect-within", usual.connectTimeoutMillis(), 1, 60_000),
+        limits.number("ping-every", usual.pingIntervalMillis(), 100, HOUR));
   }
 }
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -126,7 +126,7 @@
   }
 
   private static SocketNode node(Sockets sockets, EventLoop loop, int port) throws IOException {
-    return new SocketNode(sockets, loop, SocketLimits.USUAL, HOST, port, port);
+    return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, port, port);
   }
 
   private void writeSettings(FleetPlan plan, PrintWriter out) throws IOException {
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -69,7 +69,7 @@
   }
 
   private SocketNode node() throws Exception {
-    return new SocketNode(sockets, loop, SocketLimits.USUAL, HOST, 0, 1);
+    return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, 0, 1);
   }
 
   private static int freePort() throws Exception {
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -109,7 +109,7 @@
     }
 
     static SocketNode node(Sockets sockets, EventLoop loop) throws Exception {
-      return new SocketNode(sockets, loop, SocketLimits.USUAL, "127.0.0.1", 0, 1);
+      return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", 0, 1);
     }
 
     private SipFront.Keeping keeping() {
--- a/net/src/main/java/coveladder/net/Octets.java
+++ b/net/src/main/java/coveladder/net/ByteBudget.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.Semaphore;
 
 /** The bound on octets that were read and wait for the loop: a selector waits for room. */
-public final class Octets {
+public final class ByteBudget {
   private final Semaphore room;
   private final int most;
 
   /** Sets the bound, octets. */
-  public Octets(int most) {
+  public ByteBudget(int most) {
     this.most = most;
     this.room = new Semaphore(most);
   }
 
   /** Waits for room, in a selector's thread; false where it was told to end. */
-  public boolean take(int length) {
+  public boolean acquire(int length) {
     try {
       room.acquire(Math.min(length, most));
       return true;
@@ -25,7 +25,7 @@
   }
 
   /** Makes room again, once the loop has had the octets. */
-  public void done(int length) {
+  public void release(int length) {
     room.release(Math.min(length, most));
   }
 }
--- a/net/src/main/java/coveladder/net/EventLoop.java
+++ b/net/src/main/java/coveladder/net/EventLoop.java
@@ -30,12 +30,12 @@
   private final ConcurrentLinkedQueue<Runnable> urgent = new ConcurrentLinkedQueue<>();
   private final ConcurrentLinkedQueue<Runnable> early = new ConcurrentLinkedQueue<>();
   private final PriorityQueue<Due> timers = new PriorityQueue<>();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong droppedTasks = new AtomicLong();
   private final Thread thread;
   private volatile long pausedUntil = Long.MIN_VALUE;
   private volatile boolean running = true;
   private long sequence;
-  private long faults;
+  private long failedTasks;
   private long lastTurn = System.nanoTime();
   private long lastRest = lastTurn;
 
@@ -96,7 +96,7 @@
   public boolean offer(Runnable task) {
     boolean taken = queue.offer(task);
     if (!taken) {
-      dropped.incrementAndGet();
+      droppedTasks.incrementAndGet();
     }
     return taken;
   }
@@ -126,7 +126,7 @@
    * Hands a task over that goes before all others that wait. For the few that must be heard first;
    * whoever asks bounds how many there are.
    */
-  public void executeFirst(Runnable task) {
+  public void executeUrgent(Runnable task) {
     urgent.add(task);
     execute(this::hear);
   }
@@ -135,7 +135,7 @@
    * Hands a task over that goes before timers and ordinary tasks, after those of {@link
    * #executeFirst}: what was said already is heard before anything acts on what was known before.
    */
-  public void executeEarly(Runnable task) {
+  public void executePrioritized(Runnable task) {
     early.add(task);
     execute(this::hear);
   }
@@ -173,18 +173,18 @@
   }
 
   /** Tasks dropped so far for want of room. */
-  public long dropped() {
-    return dropped.get();
+  public long droppedTasks() {
+    return droppedTasks.get();
   }
 
   /** Tasks that wait now. */
-  public int waiting() {
+  public int queuedTasks() {
     return queue.size();
   }
 
   /** Tasks that threw; each was logged and the loop went on. */
-  public long faults() {
-    return faults;
+  public long failedTasks() {
+    return failedTasks;
   }
 
   private void run() {
@@ -263,7 +263,7 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      faults++;
+      failedTasks++;
       LOG.error("an event failed", e);
     }
   }
--- a/net/src/main/java/coveladder/net/SocketNode.java
+++ b/net/src/main/java/coveladder/net/SocketNode.java
@@ -42,7 +42,7 @@
   private int port;
   private Connection<SocketAddress> bound;
   private volatile SipNode node;
-  private long letGo;
+  private long overflowDisconnects;
 
   /**
    * Binds a node.
@@ -62,11 +62,11 @@
         new Streams(
             sockets,
             loop,
-            new Streams.Bounds(
-                limits.connections(),
-                limits.connections(),
-                limits.waitingBytes(),
-                limits.connectWithin()),
+            new Streams.Limits(
+                limits.maxConnections(),
+                limits.maxConnections(),
+                limits.maxQueuedBytes(),
+                limits.connectTimeoutMillis()),
             new StreamUser());
     bind();
   }
@@ -97,7 +97,7 @@
         () -> {
           node = element;
           element.start();
-          loop.after(limits.pingEvery(), this::pingAll);
+          loop.after(limits.pingIntervalMillis(), this::pingAll);
         });
   }
 
@@ -107,12 +107,12 @@
   }
 
   /** Peers let go as too much waited for them. */
-  public long letGo() {
-    return letGo;
+  public long overflowDisconnects() {
+    return overflowDisconnects;
   }
 
   /** Stream connections held. */
-  public int connections() {
+  public int connectionCount() {
     return peers.size();
   }
 
@@ -161,7 +161,7 @@
       peer = connect(to);
     }
     if (peer != null && !peer.send(message)) {
-      letGo++;
+      overflowDisconnects++;
       abort(peer);
     }
   }
@@ -169,18 +169,18 @@
   /** Begins to connect; null where there is no room for one more connection. */
   private Stream connect(Hop to) {
     InetSocketAddress address = new InetSocketAddress(to.host(), to.port());
-    if (bound == null || peers.size() >= limits.connections() || address.isUnresolved()) {
+    if (bound == null || peers.size() >= limits.maxConnections() || address.isUnresolved()) {
       loop.after(0, () -> tellFailed(to, Failure.REFUSED));
       return null;
     }
     Stream peer = streams.connect(address);
-    peer.user(new Framing(to));
+    peer.attachment(new Framing(to));
     peers.put(to, peer);
     return peer;
   }
 
   private static Hop hop(Stream peer) {
-    return ((Framing) peer.user()).hop;
+    return ((Framing) peer.attachment()).hop;
   }
 
   private void abort(Stream peer) {
@@ -203,14 +203,14 @@
   /** Keeps own connections alive and finds those whose other end is gone (RFC 5626). */
   private void pingAll() {
     for (Stream peer : streams.all()) {
-      Framing framing = (Framing) peer.user();
-      if (peer.own() && peer.open() && framing.pinged) {
+      Framing framing = (Framing) peer.attachment();
+      if (peer.outbound() && peer.open() && framing.pinged) {
         abort(peer);
-      } else if (peer.own() && peer.open()) {
+      } else if (peer.outbound() && peer.open()) {
         framing.pinged = peer.send(PING);
       }
     }
-    loop.after(limits.pingEvery(), this::pingAll);
+    loop.after(limits.pingIntervalMillis(), this::pingAll);
   }
 
   // ---- Faults for rehearsals ----------------------------------------------------------------
@@ -221,7 +221,7 @@
   }
 
   /** Takes the node off the network, or binds it again to its port. On the loop's thread. */
-  public void reachable(boolean on) throws IOException {
+  public void setReachable(boolean on) throws IOException {
     if (!on) {
       streams.stopListening();
       if (bound != null) {
@@ -271,7 +271,7 @@
   /** What is kept with a stream: its hop, its framer, and whether a ping is out on it. */
   private final class Framing {
     final Hop hop;
-    final StreamFramer framer = new StreamFramer(limits.headBytes(), limits.bodyBytes());
+    final StreamFramer framer = new StreamFramer(limits.maxHeadBytes(), limits.maxBodyBytes());
     boolean pinged;
 
     Framing(Hop hop) {
@@ -280,7 +280,7 @@
   }
 
   /** Cuts streams into messages and tells of connections that come and go. */
-  private final class StreamUser implements Streams.User {
+  private final class StreamUser implements Streams.Listener {
     @Override
     public void accepted(Stream stream) {
       if (bound == null) {
@@ -297,13 +297,13 @@
     }
 
     @Override
-    public void taken(Stream stream) {
-      stream.user(new Framing(SocketNode.hop(Transport.TCP, stream.remote())));
+    public void accepting(Stream stream) {
+      stream.attachment(new Framing(SocketNode.hop(Transport.TCP, stream.remote())));
     }
 
     @Override
     public void read(Stream stream, byte[] octets, double arrived) {
-      Framing framing = (Framing) stream.user();
+      Framing framing = (Framing) stream.attachment();
       if (octets.length <= PING.length) {
         loop.offer(() -> framing.pinged = false);
       }
--- a/net/src/main/java/coveladder/net/Stream.java
+++ b/net/src/main/java/coveladder/net/Stream.java
@@ -19,13 +19,13 @@
   private static final long TOGETHER = 8;
 
   private final InetSocketAddress remote;
-  private final boolean own;
+  private final boolean outbound;
   private final int most;
   private final AtomicLong total;
   private final ArrayDeque<byte[]> early = new ArrayDeque<>();
   private final AtomicLong waiting = new AtomicLong();
   private Connection<SocketAddress> connection;
-  private Object user;
+  private Object attachment;
   private boolean closing;
 
   /**
@@ -37,7 +37,7 @@
    */
   Stream(InetSocketAddress remote, boolean own, int most, AtomicLong total) {
     this.remote = remote;
-    this.own = own;
+    this.outbound = own;
     this.most = most;
     this.total = total;
   }
@@ -48,8 +48,8 @@
   }
 
   /** Whether this node connected it. */
-  public boolean own() {
-    return own;
+  public boolean outbound() {
+    return outbound;
   }
 
   /** Whether it was made. */
@@ -58,13 +58,13 @@
   }
 
   /** What its user keeps with it. */
-  public Object user() {
-    return user;
+  public Object attachment() {
+    return attachment;
   }
 
   /** Keeps something of its user with it. */
-  public void user(Object kept) {
-    user = kept;
+  public void attachment(Object kept) {
+    attachment = kept;
   }
 
   Connection<SocketAddress> connection() {
--- a/net/src/main/java/coveladder/net/Streams.java
+++ b/net/src/main/java/coveladder/net/Streams.java
@@ -23,7 +23,7 @@
 
 /**
  * The stream connections of one node, whatever is spoken on them: made, taken, bounded, closed and
- * reset. All but {@link User#read} happens in the thread of the event loop.
+ * reset. All but {@link Listener#read} happens in the thread of the event loop.
  */
 public final class Streams {
   private static final Attribute<Stream> STREAM =
@@ -31,8 +31,8 @@
 
   private final Sockets sockets;
   private final EventLoop loop;
-  private final Bounds bounds;
-  private final User user;
+  private final Limits bounds;
+  private final Listener user;
   private final FilterChain chain = Sockets.chain(new StreamFilter());
   private final Set<Stream> held = new LinkedHashSet<>();
   private final Map<Connection<SocketAddress>, Stream> byConnection = new IdentityHashMap<>();
@@ -43,12 +43,13 @@
   /**
    * Bounds of a node's connections.
    *
-   * @param connections most connections in all
-   * @param accepted most connections taken from others; one more is closed as it comes
-   * @param waitingBytes most octets that wait to be written to one; eight times as much to all
-   * @param connectWithin time for a connection to be made, ms
+   * @param maxConnections most connections in all
+   * @param maxAccepted most connections taken from others; one more is closed as it comes
+   * @param maxQueuedBytes most octets that wait to be written to one; eight times as much to all
+   * @param connectTimeoutMillis time for a connection to be made, ms
    */
-  public record Bounds(int connections, int accepted, int waitingBytes, double connectWithin) {}
+  public record Limits(
+      int maxConnections, int maxAccepted, int maxQueuedBytes, double connectTimeoutMillis) {}
 
   /** Why a connection is no more. */
   public enum Loss {
@@ -61,18 +62,19 @@
   }
 
   /** Hears of the connections. */
-  public interface User {
+  public interface Listener {
     /** Another node connects, in the selector's thread, before anything else of the stream. */
-    default void taken(Stream stream) {}
+    default void accepting(Stream stream) {}
 
     /** Another node connected. */
     void accepted(Stream stream);
 
     /**
      * Whether the coming and the going of connections that others make are told before timers and
-     * ordinary tasks; what they bring must then be handed over by {@link EventLoop#executeEarly}.
+     * ordinary tasks; what they bring must then be handed over by {@link
+     * EventLoop#executePrioritized}.
      */
-    default boolean hearsEarly() {
+    default boolean prioritizesAccepted() {
       return false;
     }
 
@@ -91,7 +93,7 @@
   }
 
   /** Makes the connections of a node; none yet. */
-  public Streams(Sockets sockets, EventLoop loop, Bounds bounds, User user) {
+  public Streams(Sockets sockets, EventLoop loop, Limits bounds, Listener user) {
     this.sockets = sockets;
     this.loop = loop;
     this.bounds = bounds;
@@ -113,7 +115,7 @@
   }
 
   /** Whether a connection is held still. */
-  public boolean holds(Stream stream) {
+  public boolean contains(Stream stream) {
     return held.contains(stream);
   }
 
@@ -129,13 +131,13 @@
 
   /** Begins to connect; what comes of it is told later, also where there is no room. */
   public Stream connect(InetSocketAddress to) {
-    Stream stream = new Stream(to, true, bounds.waitingBytes(), waiting);
+    Stream stream = new Stream(to, true, bounds.maxQueuedBytes(), waiting);
     held.add(stream);
-    if (held.size() > bounds.connections() || to.isUnresolved()) {
+    if (held.size() > bounds.maxConnections() || to.isUnresolved()) {
       loop.after(0, () -> drop(stream, Loss.NOT_MADE));
       return stream;
     }
-    loop.after(bounds.connectWithin(), () -> notMade(stream, Loss.NOT_MADE));
+    loop.after(bounds.connectTimeoutMillis(), () -> notMade(stream, Loss.NOT_MADE));
     sockets.connect(chain, to, new Connecting(stream));
     return stream;
   }
@@ -208,7 +210,7 @@
   }
 
   private void accepted(Stream stream, Connection<SocketAddress> made) {
-    if (held.size() >= bounds.connections()) {
+    if (held.size() >= bounds.maxConnections()) {
       made.terminateSilently();
       return;
     }
@@ -235,15 +237,15 @@
     @Override
     public NextAction handleAccept(FilterChainContext context) {
       Connection<SocketAddress> connection = connection(context);
-      if (taken.incrementAndGet() > bounds.accepted()) {
+      if (taken.incrementAndGet() > bounds.maxAccepted()) {
         taken.decrementAndGet();
         connection.terminateSilently();
         return context.getInvokeAction();
       }
       InetSocketAddress from = (InetSocketAddress) connection.getPeerAddress();
-      Stream stream = new Stream(from, false, bounds.waitingBytes(), waiting);
+      Stream stream = new Stream(from, false, bounds.maxQueuedBytes(), waiting);
       STREAM.set(connection, stream);
-      user.taken(stream);
+      user.accepting(stream);
       hand(stream, () -> accepted(stream, connection));
       return context.getInvokeAction();
     }
@@ -264,7 +266,7 @@
     public NextAction handleClose(FilterChainContext context) {
       Connection<SocketAddress> connection = connection(context);
       Stream stream = STREAM.get(connection);
-      if (stream != null && !stream.own()) {
+      if (stream != null && !stream.outbound()) {
         taken.decrementAndGet();
       }
       hand(stream, () -> closed(connection));
@@ -272,8 +274,8 @@
     }
 
     private void hand(Stream stream, Runnable task) {
-      if (stream != null && !stream.own() && user.hearsEarly()) {
-        loop.executeEarly(task);
+      if (stream != null && !stream.outbound() && user.prioritizesAccepted()) {
+        loop.executePrioritized(task);
       } else {
         loop.execute(task);
       }
--- a/net/src/test/java/coveladder/net/SocketNodeTest.java
+++ b/net/src/test/java/coveladder/net/SocketNodeTest.java
@@ -162,7 +162,7 @@
       byte[] much = new byte[40_000];
       for (int i = 0; i < 900; i++) {
         loop.offer(() -> node.send(to, much));
-        if (node.letGo() > 0) {
+        if (node.overflowDisconnects() > 0) {
           break;
         }
       }
@@ -172,7 +172,7 @@
 
   @Test
   void oneConnectionTooManyIsClosed() throws IOException {
-    Socket[] open = new Socket[LIMITS.connections()];
+    Socket[] open = new Socket[LIMITS.maxConnections()];
     for (int i = 0; i < open.length; i++) {
       open[i] = new Socket(HOST, node.port());
       open[i].getOutputStream().write(bytes("A b SIP/2.0\r\nl: 0\r\n\r\n"));
@@ -189,7 +189,7 @@
   @Test
   void aHeaderBeyondItsBoundEndsTheConnection() throws IOException {
     try (Socket tcp = new Socket(HOST, node.port())) {
-      tcp.getOutputStream().write(new byte[LIMITS.headBytes() + 10]);
+      tcp.getOutputStream().write(new byte[LIMITS.maxHeadBytes() + 10]);
       assertEnded(tcp.getInputStream());
     }
   }
--- a/net/src/test/java/coveladder/net/StreamsTest.java
+++ b/net/src/test/java/coveladder/net/StreamsTest.java
@@ -28,9 +28,9 @@
   private volatile Stream last;
 
   /** Writes down what is heard. */
-  private final class User implements Streams.User {
+  private final class User implements Streams.Listener {
     @Override
-    public boolean hearsEarly() {
+    public boolean prioritizesAccepted() {
       return true;
     }
 
@@ -60,7 +60,7 @@
   void start() throws IOException {
     sockets = Sockets.streamsOnly(1);
     loop = new EventLoop("test", System.nanoTime(), 100);
-    streams = new Streams(sockets, loop, new Streams.Bounds(3, 2, 1_000, 5_000), new User());
+    streams = new Streams(sockets, loop, new Streams.Limits(3, 2, 1_000, 5_000), new User());
     loop.start();
   }
 
@@ -155,8 +155,8 @@
   void urgentNewsIsHeardBeforeWhatWaitedLonger() throws Exception {
     CountDownLatch go = held();
     loop.put(() -> heard.add("call"));
-    loop.executeEarly(() -> heard.add("left"));
-    loop.executeFirst(() -> heard.add("drain"));
+    loop.executePrioritized(() -> heard.add("left"));
+    loop.executeUrgent(() -> heard.add("drain"));
     go.countDown();
     assertEquals("drain", next());
     assertEquals("left", next());
@@ -178,7 +178,7 @@
           }
         });
     set.await();
-    loop.executeEarly(() -> heard.add("left"));
+    loop.executePrioritized(() -> heard.add("left"));
     said.countDown();
     assertEquals("left", next());
     assertEquals("timer", next());
@@ -192,7 +192,7 @@
       CountDownLatch go = held();
       loop.put(() -> heard.add("sent on"));
       ends.on(socket);
-      while (loop.waiting() < 2) {
+      while (loop.queuedTasks() < 2) {
         Thread.onSpinWait();
       }
       go.countDown();
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketWorld.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketWorld.java
@@ -52,7 +52,7 @@
       this.loop = loop;
       long own = seed * 31 + name.hashCode();
       this.fate = new SplittableRandom(own);
-      this.socket = new SocketNode(sockets, loop, SocketLimits.USUAL, HOST, 0, own + 1);
+      this.socket = new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, 0, own + 1);
     }
 
     @Override
@@ -161,7 +161,7 @@
     node.loop.offer(
         () -> {
           try {
-            node.socket.reachable(on);
+            node.socket.setReachable(on);
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
@@ -208,7 +208,9 @@
 
   /** Tasks that the loops dropped or that threw; any is a fault of the run. */
   public long faults() {
-    return loops.values().stream().mapToLong(loop -> loop.dropped() + loop.faults()).sum();
+    return loops.values().stream()
+        .mapToLong(loop -> loop.droppedTasks() + loop.failedTasks())
+        .sum();
   }
 
   @Override
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -51,9 +51,9 @@
             deeds -> new NestedThresholdPolicy(settings.policy(), settings.seed(), deeds));
   }
 
-  private static Streams.Bounds bounds(PlatformSettings settings, Limits limits) {
+  private static Streams.Limits bounds(PlatformSettings settings, Limits limits) {
     int accepted = limits.callerLinks() + 8;
-    return new Streams.Bounds(settings.descriptors(), accepted, WAITING, CONNECT_WITHIN);
+    return new Streams.Limits(settings.descriptors(), accepted, WAITING, CONNECT_WITHIN);
   }
 
   /** Runs the command and exits: 0 ended as told, 2 wrongly asked. */
@@ -133,7 +133,8 @@
 
   private void tell() {
     String news = front.counters().news();
-    LOG.info("{}; faults {}{}", front.state(), loop.faults(), news.isEmpty() ? "" : "; " + news);
+    LOG.info(
+        "{}; faults {}{}", front.state(), loop.failedTasks(), news.isEmpty() ? "" : "; " + news);
     loop.after(TELL_EVERY, this::tell);
   }
 }
--- a/serve/src/main/java/coveladder/serve/SocketWires.java
+++ b/serve/src/main/java/coveladder/serve/SocketWires.java
@@ -1,8 +1,8 @@
 package coveladder.serve;
 
 import coveladder.isupfront.Wires;
+import coveladder.net.ByteBudget;
 import coveladder.net.EventLoop;
-import coveladder.net.Octets;
 import coveladder.net.Sockets;
 import coveladder.net.Stream;
 import coveladder.net.Streams;
@@ -11,16 +11,16 @@
 import java.util.function.Function;
 
 /** The front's connections on sockets: what is read is handed to the loop, within a bound. */
-final class SocketWires implements Wires, Streams.User {
+final class SocketWires implements Wires, Streams.Listener {
   /** Most octets that were read and wait for the loop. */
   private static final int MOST_READ = 1 << 20;
 
   private final EventLoop loop;
   private final Streams streams;
-  private final Octets unread = new Octets(MOST_READ);
+  private final ByteBudget unread = new ByteBudget(MOST_READ);
   private Function<Wire, WireUser> acceptor = wire -> null;
 
-  SocketWires(Sockets sockets, EventLoop loop, Streams.Bounds bounds) {
+  SocketWires(Sockets sockets, EventLoop loop, Streams.Limits bounds) {
     this.loop = loop;
     this.streams = new Streams(sockets, loop, bounds, this);
   }
@@ -58,7 +58,7 @@
   @Override
   public Wire connect(String host, int port, WireUser user) {
     Stream stream = streams.connect(new InetSocketAddress(host, port));
-    stream.user(user);
+    stream.attachment(user);
     return new SocketWire(stream);
   }
 
@@ -68,17 +68,17 @@
   }
 
   private static WireUser user(Stream stream) {
-    return (WireUser) stream.user();
+    return (WireUser) stream.attachment();
   }
 
   @Override
-  public boolean hearsEarly() {
+  public boolean prioritizesAccepted() {
     return true;
   }
 
   @Override
   public void accepted(Stream stream) {
-    stream.user(acceptor.apply(new SocketWire(stream)));
+    stream.attachment(acceptor.apply(new SocketWire(stream)));
   }
 
   @Override
@@ -93,20 +93,20 @@
 
   @Override
   public void read(Stream stream, byte[] octets, double arrived) {
-    if (!unread.take(octets.length)) {
+    if (!unread.acquire(octets.length)) {
       return;
     }
     Runnable hear =
         () -> {
-          unread.done(octets.length);
-          if (streams.holds(stream)) {
+          unread.release(octets.length);
+          if (streams.contains(stream)) {
             user(stream).received(octets, arrived);
           }
         };
-    if (!stream.own()) {
-      loop.executeEarly(hear);
-    } else if (stream.user() instanceof WireUser known && known.urgent()) {
-      loop.executeFirst(hear);
+    if (!stream.outbound()) {
+      loop.executePrioritized(hear);
+    } else if (stream.attachment() instanceof WireUser known && known.urgent()) {
+      loop.executeUrgent(hear);
     } else {
       loop.execute(hear);
     }
