--- a/net/src/main/java/coveladder/net/ByteBudget.java
+++ b/net/src/main/java/coveladder/net/ByteBudget.java
@@ -2,21 +2,30 @@
 
 import java.util.concurrent.Semaphore;
 
-/** The bound on octets that were read and wait for the loop: a selector waits for room. */
+/** Limits the bytes that were read and not yet processed by the event loop; readers block on it. */
 public final class ByteBudget {
-  private final Semaphore room;
-  private final int most;
+  private final Semaphore permits;
+  private final int maxBytes;
 
-  /** Sets the bound, octets. */
-  public ByteBudget(int most) {
-    this.most = most;
-    this.room = new Semaphore(most);
+  /**
+   * Creates a budget.
+   *
+   * @param maxBytes maximum number of unprocessed bytes
+   */
+  public ByteBudget(int maxBytes) {
+    this.maxBytes = maxBytes;
+    this.permits = new Semaphore(maxBytes);
   }
 
-  /** Waits for room, in a selector's thread; false where it was told to end. */
+  /**
+   * Reserves bytes, on a selector thread, and blocks until the budget allows it. A length above the
+   * maximum reserves the whole budget.
+   *
+   * @return false if the thread was interrupted
+   */
   public boolean acquire(int length) {
     try {
-      room.acquire(Math.min(length, most));
+      permits.acquire(Math.min(length, maxBytes));
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -24,8 +33,8 @@
     }
   }
 
-  /** Makes room again, once the loop has had the octets. */
+  /** Returns reserved bytes to the budget once the event loop has processed them. */
   public void release(int length) {
-    room.release(Math.min(length, most));
+    permits.release(Math.min(length, maxBytes));
   }
 }
--- a/net/src/main/java/coveladder/net/EventLoop.java
+++ b/net/src/main/java/coveladder/net/EventLoop.java
@@ -10,50 +10,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread with its timers: everything of the nodes that live on it happens here, one thing after
- * the other. What other threads hand over waits in a queue of fixed length.
+ * A single thread with timers. All work of the nodes assigned to it runs here sequentially; tasks
+ * submitted by other threads wait in a bounded queue.
  */
 public final class EventLoop implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-  private static final int BATCH = 64;
-  private static final double NANOS = 1e6;
-  private static final long STOOD_STILL = 100_000_000L;
-  private static final long READ_FIRST = 10_000_000L;
 
-  /** Longest time without a rest while tasks wait, and the rest, ns: selectors read meanwhile. */
-  private static final long REST_EVERY = 40_000_000L;
+  /** Maximum number of queued tasks per iteration, and of prioritized tasks run at a time. */
+  private static final int MAX_BATCH_TASKS = 64;
 
-  private static final long REST = 1_000_000L;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  private final long origin;
-  private final ArrayBlockingQueue<Runnable> queue;
-  private final ConcurrentLinkedQueue<Runnable> urgent = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Runnable> early = new ConcurrentLinkedQueue<>();
-  private final PriorityQueue<Due> timers = new PriorityQueue<>();
+  /** Delay of an iteration above which the process counts as stalled, ns. */
+  private static final long STALL_THRESHOLD_NANOS = 100_000_000L;
+
+  /** Time given to the selector threads after a stall, ns. */
+  private static final long STALL_YIELD_NANOS = 10_000_000L;
+
+  /** Maximum time between two yields to the selector threads while tasks are queued, ns. */
+  private static final long MAX_BUSY_NANOS = 40_000_000L;
+
+  /** Time given to the selector threads in such a yield, ns. */
+  private static final long YIELD_NANOS = 1_000_000L;
+
+  private final long originNanos;
+  private final ArrayBlockingQueue<Runnable> taskQueue;
+  private final ConcurrentLinkedQueue<Runnable> urgentTasks = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Runnable> prioritizedTasks = new ConcurrentLinkedQueue<>();
+  private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
   private final AtomicLong droppedTasks = new AtomicLong();
   private final Thread thread;
-  private volatile long pausedUntil = Long.MIN_VALUE;
+  private volatile long pausedUntilNanos = Long.MIN_VALUE;
   private volatile boolean running = true;
-  private long sequence;
+  private long nextSequenceNumber;
   private long failedTasks;
-  private long lastTurn = System.nanoTime();
-  private long lastRest = lastTurn;
+  private long lastDispatchNanos = System.nanoTime();
+  private long lastYieldNanos = lastDispatchNanos;
 
-  /** A timer that was set. */
+  /** Handle of a scheduled timer. */
   public interface Timer {
-    /** Stops it; without effect once it ran. */
+    /** Cancels the timer; has no effect once it has run. */
     void cancel();
   }
 
-  /** A timer; equal times run in the order of their asking. */
-  private static final class Due implements Comparable<Due>, Timer {
-    private final double time;
-    private final long order;
+  /** A scheduled task; tasks due at the same time run in the order in which they were set. */
+  private static final class ScheduledTask implements Comparable<ScheduledTask>, Timer {
+    private final double timeMillis;
+    private final long sequenceNumber;
     private Runnable task;
 
-    Due(double time, long order, Runnable task) {
-      this.time = time;
-      this.order = order;
+    ScheduledTask(double timeMillis, long sequenceNumber, Runnable task) {
+      this.timeMillis = timeMillis;
+      this.sequenceNumber = sequenceNumber;
       this.task = task;
     }
 
@@ -63,52 +71,57 @@
     }
 
     @Override
-    public int compareTo(Due other) {
-      int byTime = Double.compare(time, other.time);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+    public int compareTo(ScheduledTask other) {
+      int byTime = Double.compare(timeMillis, other.timeMillis);
+      return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
   /**
-   * Makes a loop that is not yet running.
+   * Creates a loop that is not running yet.
    *
-   * @param origin nano time that counts as clock 0
-   * @param length most tasks that wait
+   * @param name thread name
+   * @param originNanos value of {@link System#nanoTime} at which this clock reads 0
+   * @param queueCapacity maximum number of queued tasks
    */
-  public EventLoop(String name, long origin, int length) {
-    this.origin = origin;
-    this.queue = new ArrayBlockingQueue<>(length);
+  public EventLoop(String name, long originNanos, int queueCapacity) {
+    this.originNanos = originNanos;
+    this.taskQueue = new ArrayBlockingQueue<>(queueCapacity);
     this.thread = new Thread(this::run, name);
     this.thread.setDaemon(true);
   }
 
-  /** Starts the thread. */
+  /** Starts the loop thread. */
   public void start() {
     thread.start();
   }
 
-  /** The clock, ms since the origin; it never steps back. */
+  /** Returns the monotonic clock, in ms since the origin. */
   public double now() {
-    return (System.nanoTime() - origin) / NANOS;
+    return (System.nanoTime() - originNanos) / NANOS_PER_MILLI;
   }
 
-  /** Hands a task over from any thread; false where too much waits, and the task is dropped. */
+  /**
+   * Submits a task from any thread.
+   *
+   * @return false if the queue is full and the task was dropped
+   */
   public boolean offer(Runnable task) {
-    boolean taken = queue.offer(task);
-    if (!taken) {
+    boolean accepted = taskQueue.offer(task);
+    if (!accepted) {
       droppedTasks.incrementAndGet();
     }
-    return taken;
+    return accepted;
   }
 
-  /** Hands a task over from any thread, waiting for room. */
+  /** Submits a task from any thread and blocks while the queue is full. */
   public void put(Runnable task) throws InterruptedException {
-    queue.put(task);
+    taskQueue.put(task);
   }
 
   /**
-   * Hands a task over that must not be lost: from another thread it waits for room, on the loop's
-   * own it becomes a timer that is due.
+   * Submits a task that must not be dropped. Other threads block while the queue is full; on the
+   * loop thread the task becomes a timer that is due at once.
    */
   public void execute(Runnable task) {
     if (Thread.currentThread() == thread) {
@@ -123,66 +136,78 @@
   }
 
   /**
-   * Hands a task over that goes before all others that wait. For the few that must be heard first;
-   * whoever asks bounds how many there are.
+   * Submits a task that runs before all other queued tasks. The queue of urgent tasks is unbounded:
+   * the caller limits their number.
    */
   public void executeUrgent(Runnable task) {
-    urgent.add(task);
-    execute(this::hear);
+    urgentTasks.add(task);
+    execute(this::runPriorityTasks);
   }
 
   /**
-   * Hands a task over that goes before timers and ordinary tasks, after those of {@link
-   * #executeFirst}: what was said already is heard before anything acts on what was known before.
+   * Submits a task that runs before timers and ordinary tasks, but after those of {@link
+   * #executeUrgent}. Input that has already arrived is thus processed before a timer or task acts
+   * on outdated state. The queue of these tasks is unbounded.
    */
   public void executePrioritized(Runnable task) {
-    early.add(task);
-    execute(this::hear);
+    prioritizedTasks.add(task);
+    execute(this::runPriorityTasks);
   }
 
-  private void hear() {
-    for (Runnable task = urgent.poll(); task != null; task = urgent.poll()) {
-      guarded(task);
+  private void runPriorityTasks() {
+    for (Runnable task = urgentTasks.poll(); task != null; task = urgentTasks.poll()) {
+      runGuarded(task);
     }
-    Runnable task = early.poll();
+    Runnable task = prioritizedTasks.poll();
     for (int i = 1; task != null; i++) {
-      guarded(task);
-      task = i < BATCH ? early.poll() : null;
+      runGuarded(task);
+      task = i < MAX_BATCH_TASKS ? prioritizedTasks.poll() : null;
     }
   }
 
-  /** Before a task or timer: lets the selectors read where they had no moment for long. */
-  private void hearFirst() {
-    if (System.nanoTime() - lastRest > REST_EVERY) {
-      LockSupport.parkNanos(REST);
-      lastRest = System.nanoTime();
+  /**
+   * Prepares for a task or timer: yields to the selector threads if the last yield is too long ago,
+   * then runs the priority tasks.
+   */
+  private void yieldThenRunPriorityTasks() {
+    if (System.nanoTime() - lastYieldNanos > MAX_BUSY_NANOS) {
+      LockSupport.parkNanos(YIELD_NANOS);
+      lastYieldNanos = System.nanoTime();
     }
-    hear();
+    runPriorityTasks();
   }
 
-  /** Sets a timer, on the loop's thread or before it runs. */
-  public Timer after(double delay, Runnable task) {
-    Due due = new Due(now() + delay, sequence++, task);
-    timers.add(due);
-    return due;
+  /**
+   * Sets a timer, on the loop thread or before the loop starts.
+   *
+   * @param delayMillis time until the task runs, ms
+   */
+  public Timer after(double delayMillis, Runnable task) {
+    ScheduledTask timer = new ScheduledTask(now() + delayMillis, nextSequenceNumber++, task);
+    timers.add(timer);
+    return timer;
   }
 
-  /** Makes the loop stand still for so long, ms; from any thread. */
-  public void pause(double lasts) {
-    pausedUntil = System.nanoTime() + (long) (lasts * NANOS);
+  /**
+   * Stops the loop from processing anything for a while, to simulate a stall; from any thread.
+   *
+   * @param durationMillis length of the pause, ms
+   */
+  public void pause(double durationMillis) {
+    pausedUntilNanos = System.nanoTime() + (long) (durationMillis * NANOS_PER_MILLI);
   }
 
-  /** Tasks dropped so far for want of room. */
+  /** Returns the number of tasks dropped so far because the queue was full. */
   public long droppedTasks() {
     return droppedTasks.get();
   }
 
-  /** Tasks that wait now. */
+  /** Returns the number of tasks in the queue. */
   public int queuedTasks() {
-    return queue.size();
+    return taskQueue.size();
   }
 
-  /** Tasks that threw; each was logged and the loop went on. */
+  /** Returns the number of tasks that threw; each was logged and the loop continued. */
   public long failedTasks() {
     return failedTasks;
   }
@@ -190,81 +215,88 @@
   private void run() {
     while (running) {
       try {
-        turn();
+        runOnce();
       } catch (InterruptedException e) {
         running = false;
       }
     }
   }
 
-  private void turn() throws InterruptedException {
-    long wait = untilNextTimer();
-    long before = System.nanoTime();
-    Runnable task = queue.poll();
+  private void runOnce() throws InterruptedException {
+    long waitNanos = nanosUntilNextTimer();
+    long startNanos = System.nanoTime();
+    Runnable task = taskQueue.poll();
     if (task == null) {
-      task = queue.poll(wait, TimeUnit.NANOSECONDS);
-      lastRest = System.nanoTime();
+      task = taskQueue.poll(waitNanos, TimeUnit.NANOSECONDS);
+      lastYieldNanos = System.nanoTime();
     }
-    standStill();
-    catchUp(before, wait);
-    for (int i = 0; task != null && i < BATCH; i++) {
-      hearFirst();
-      guarded(task);
+    waitWhilePaused();
+    yieldAfterStall(startNanos, waitNanos);
+    for (int i = 0; task != null && i < MAX_BATCH_TASKS; i++) {
+      yieldThenRunPriorityTasks();
+      runGuarded(task);
       runTimers();
-      task = i + 1 < BATCH ? queue.poll() : null;
+      task = i + 1 < MAX_BATCH_TASKS ? taskQueue.poll() : null;
     }
     runTimers();
   }
 
-  private long untilNextTimer() {
-    Due next = timers.peek();
+  /** Returns the time until the next timer is due, at most 50 ms, in ns. */
+  private long nanosUntilNextTimer() {
+    ScheduledTask next = timers.peek();
     if (next == null) {
       return 50_000_000L;
     }
-    return Math.max(0, Math.min(50_000_000L, (long) ((next.time - now()) * NANOS)));
+    return Math.max(0, Math.min(50_000_000L, (long) ((next.timeMillis - now()) * NANOS_PER_MILLI)));
   }
 
   /**
-   * Where this thread stood still, the selectors did as well, and what came meanwhile is still
-   * unread: they get a moment to read it, so that urgent news is heard before timers and tasks act
-   * on what was known before.
+   * Yields to the selector threads after a stall. When this thread stalled, the selectors stalled
+   * too, and input that arrived meanwhile is unread: they get time to read it, so that priority
+   * tasks run before timers and tasks act on outdated state.
+   *
+   * @param startNanos start of this iteration, ns
+   * @param waitNanos longest time for which this iteration meant to wait for a task, ns
    */
-  private void catchUp(long before, long wait) {
-    long late = Math.max(System.nanoTime() - before - wait, before - lastTurn);
-    if (late > STOOD_STILL) {
-      LockSupport.parkNanos(READ_FIRST);
+  private void yieldAfterStall(long startNanos, long waitNanos) {
+    long delayNanos =
+        Math.max(System.nanoTime() - startNanos - waitNanos, startNanos - lastDispatchNanos);
+    if (delayNanos > STALL_THRESHOLD_NANOS) {
+      LockSupport.parkNanos(STALL_YIELD_NANOS);
     }
-    hear();
-    lastTurn = System.nanoTime();
+    runPriorityTasks();
+    lastDispatchNanos = System.nanoTime();
   }
 
-  private void standStill() {
-    while (running && System.nanoTime() - pausedUntil < 0 && pausedUntil != Long.MIN_VALUE) {
-      LockSupport.parkNanos(pausedUntil - System.nanoTime());
+  private void waitWhilePaused() {
+    while (running
+        && System.nanoTime() - pausedUntilNanos < 0
+        && pausedUntilNanos != Long.MIN_VALUE) {
+      LockSupport.parkNanos(pausedUntilNanos - System.nanoTime());
     }
   }
 
   private void runTimers() {
-    Due due = timers.peek();
-    while (due != null && due.time <= now()) {
+    ScheduledTask due = timers.peek();
+    while (due != null && due.timeMillis <= now()) {
       timers.poll();
       if (due.task != null) {
-        hearFirst();
+        yieldThenRunPriorityTasks();
       }
       if (due.task != null) {
-        guarded(due.task);
+        runGuarded(due.task);
       }
       due = timers.peek();
     }
   }
 
-  /** A fault in one event must not end the loop with all its calls. */
-  private void guarded(Runnable task) {
+  /** Runs a task; an exception in it must not end the loop and with it all calls. */
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
       failedTasks++;
-      LOG.error("an event failed", e);
+      LOG.error("event loop task failed", e);
     }
   }
 
--- a/net/src/main/java/coveladder/net/SocketLimits.java
+++ b/net/src/main/java/coveladder/net/SocketLimits.java
@@ -1,14 +1,15 @@
 package coveladder.net;
 
 /**
- * Bounds of a node's sockets.
+ * Limits of a node's sockets.
  *
- * @param maxHeadBytes most octets of a message's start line and header fields
- * @param maxBodyBytes most octets of a body
- * @param maxConnections most stream connections
- * @param maxQueuedBytes most octets that wait to be written to one peer; beyond, it is let go
- * @param connectTimeoutMillis time for a connection to be made, ms
- * @param pingIntervalMillis time between keep-alive pings on own connections, ms
+ * @param maxHeadBytes maximum size of a message's start line and header fields, bytes
+ * @param maxBodyBytes maximum size of a message body, bytes
+ * @param maxConnections maximum number of stream connections
+ * @param maxQueuedBytes maximum number of unsent bytes for one peer; above it, the peer is
+ *     disconnected
+ * @param connectTimeoutMillis time allowed to establish a connection, ms
+ * @param pingIntervalMillis time between keep-alive pings on outbound connections, ms
  */
 public record SocketLimits(
     int maxHeadBytes,
@@ -17,16 +18,16 @@
     int maxQueuedBytes,
     double connectTimeoutMillis,
     double pingIntervalMillis) {
-  /** Bounds that a large controller can live with. */
+  /** Default limits, sufficient for a large controller. */
   public static final SocketLimits DEFAULTS =
       new SocketLimits(16_384, 65_536, 20_000, 4 << 20, 500, 30_000);
 
-  /** Checks the figures. */
+  /** Checks that all limits are above zero. */
   public SocketLimits {
     boolean usable =
         maxHeadBytes > 0 && maxBodyBytes > 0 && maxConnections > 0 && maxQueuedBytes > 0;
     if (!usable || !(connectTimeoutMillis > 0) || !(pingIntervalMillis > 0)) {
-      throw new IllegalArgumentException("socket bounds must be above nought");
+      throw new IllegalArgumentException("socket limits must be above zero");
     }
   }
 }
--- a/net/src/main/java/coveladder/net/SocketNode.java
+++ b/net/src/main/java/coveladder/net/SocketNode.java
@@ -23,12 +23,15 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * One SIP element on sockets: UDP and TCP on the same port, connections that are used again and
- * made anew, all in the thread of its event loop.
+ * Runs one SIP element on sockets: UDP and TCP on the same port. TCP connections are reused, and
+ * re-established when needed. The element runs on the event loop thread.
  */
 public final class SocketNode implements SipHost, AutoCloseable {
-  private static final int BIND_TRIES = 50;
+  private static final int MAX_BIND_ATTEMPTS = 50;
+
+  /** Keep-alive ping and pong (RFC 5626 section 3.5.1). */
   private static final byte[] PING = {'\r', '\n', '\r', '\n'};
+
   private static final byte[] PONG = {'\r', '\n'};
 
   private final Sockets sockets;
@@ -36,18 +39,19 @@
   private final SocketLimits limits;
   private final SplittableRandom random;
   private final Streams streams;
-  private final FilterChain datagrams = Sockets.chain(new DatagramFilter());
-  private final Map<Hop, Stream> peers = new HashMap<>();
+  private final FilterChain datagramChain = Sockets.chain(new DatagramFilter());
+  private final Map<Hop, Stream> streamsByHop = new HashMap<>();
   private final String host;
   private int port;
-  private Connection<SocketAddress> bound;
+  private Connection<SocketAddress> datagramConnection;
   private volatile SipNode node;
   private long overflowDisconnects;
 
   /**
    * Binds a node.
    *
-   * @param port the port for UDP and TCP; 0 for any that is free for both
+   * @param port the port for UDP and TCP; 0 selects one that is free for both
+   * @param seed seed of the random numbers given to the element
    */
   public SocketNode(
       Sockets sockets, EventLoop loop, SocketLimits limits, String host, int port, long seed)
@@ -67,31 +71,32 @@
                 limits.maxConnections(),
                 limits.maxQueuedBytes(),
                 limits.connectTimeoutMillis()),
-            new StreamUser());
+            new StreamListener());
     bind();
   }
 
   private void bind() throws IOException {
-    IOException last = null;
-    for (int i = 0; i < BIND_TRIES && bound == null; i++) {
+    IOException lastError = null;
+    for (int i = 0; i < MAX_BIND_ATTEMPTS && datagramConnection == null; i++) {
       try {
-        int chosen = streams.listen(new InetSocketAddress(host, port));
-        bound = sockets.bind(datagrams, new InetSocketAddress(host, chosen));
-        port = chosen;
+        int boundPort = streams.listen(new InetSocketAddress(host, port));
+        datagramConnection = sockets.bind(datagramChain, new InetSocketAddress(host, boundPort));
+        port = boundPort;
       } catch (IOException e) {
-        last = e;
+        lastError = e;
         streams.stopListening();
         if (port != 0) {
           break;
         }
       }
     }
-    if (bound == null) {
-      throw new IOException("cannot bind " + host + ":" + port + ": " + last.getMessage(), last);
+    if (datagramConnection == null) {
+      throw new IOException(
+          "cannot bind " + host + ":" + port + ": " + lastError.getMessage(), lastError);
     }
   }
 
-  /** Puts the element on its sockets and begins, on the loop's thread. */
+  /** Attaches the element to the sockets and starts it, on the event loop thread. */
   public void start(SipNode element) {
     loop.offer(
         () -> {
@@ -101,22 +106,22 @@
         });
   }
 
-  /** The port. */
+  /** Returns the port bound for UDP and TCP. */
   public int port() {
     return port;
   }
 
-  /** Peers let go as too much waited for them. */
+  /** Returns how often a peer was disconnected because too many bytes were queued for it. */
   public long overflowDisconnects() {
     return overflowDisconnects;
   }
 
-  /** Stream connections held. */
+  /** Returns the number of stream connections, including those being established. */
   public int connectionCount() {
-    return peers.size();
+    return streamsByHop.size();
   }
 
-  // ---- As a host ----------------------------------------------------------------------------
+  // ---- SipHost ------------------------------------------------------------------------------
 
   @Override
   public double now() {
@@ -124,8 +129,8 @@
   }
 
   @Override
-  public Timer after(double delay, Runnable task) {
-    return loop.after(delay, task)::cancel;
+  public Timer after(double delayMillis, Runnable task) {
+    return loop.after(delayMillis, task)::cancel;
   }
 
   @Override
@@ -142,7 +147,7 @@
   public void send(Hop to, byte[] message) {
     if (to.transport() == Transport.TCP) {
       sendStream(to, message);
-    } else if (bound != null) {
+    } else if (datagramConnection != null) {
       sendDatagram(to, message);
     }
   }
@@ -150,86 +155,93 @@
   private void sendDatagram(Hop to, byte[] message) {
     InetSocketAddress address = new InetSocketAddress(to.host(), to.port());
     if (!address.isUnresolved()) {
-      Buffer buffer = Buffers.wrap(bound.getMemoryManager(), message);
-      bound.write(address, buffer, null);
+      Buffer buffer = Buffers.wrap(datagramConnection.getMemoryManager(), message);
+      datagramConnection.write(address, buffer, null);
     }
   }
 
   private void sendStream(Hop to, byte[] message) {
-    Stream peer = peers.get(to);
-    if (peer == null) {
-      peer = connect(to);
+    Stream stream = streamsByHop.get(to);
+    if (stream == null) {
+      stream = connect(to);
     }
-    if (peer != null && !peer.send(message)) {
+    if (stream != null && !stream.send(message)) {
       overflowDisconnects++;
-      abort(peer);
+      abort(stream);
     }
   }
 
-  /** Begins to connect; null where there is no room for one more connection. */
+  /**
+   * Starts to connect.
+   *
+   * @return null if the node is unbound, has too many connections or cannot resolve the host; the
+   *     element then hears of a refused connection
+   */
   private Stream connect(Hop to) {
     InetSocketAddress address = new InetSocketAddress(to.host(), to.port());
-    if (bound == null || peers.size() >= limits.maxConnections() || address.isUnresolved()) {
-      loop.after(0, () -> tellFailed(to, Failure.REFUSED));
+    if (datagramConnection == null
+        || streamsByHop.size() >= limits.maxConnections()
+        || address.isUnresolved()) {
+      loop.after(0, () -> notifyFailed(to, Failure.REFUSED));
       return null;
     }
-    Stream peer = streams.connect(address);
-    peer.attachment(new Framing(to));
-    peers.put(to, peer);
-    return peer;
+    Stream stream = streams.connect(address);
+    stream.attachment(new StreamState(to));
+    streamsByHop.put(to, stream);
+    return stream;
   }
 
-  private static Hop hop(Stream peer) {
-    return ((Framing) peer.attachment()).hop;
+  private static Hop hop(Stream stream) {
+    return ((StreamState) stream.attachment()).hop;
   }
 
-  private void abort(Stream peer) {
-    streams.reset(peer);
-    lost(peer, Failure.RESET);
+  private void abort(Stream stream) {
+    streams.reset(stream);
+    lost(stream, Failure.RESET);
   }
 
-  private void lost(Stream peer, Failure failure) {
-    if (peers.remove(hop(peer), peer)) {
-      tellFailed(hop(peer), failure);
+  private void lost(Stream stream, Failure failure) {
+    if (streamsByHop.remove(hop(stream), stream)) {
+      notifyFailed(hop(stream), failure);
     }
   }
 
-  private void tellFailed(Hop hop, Failure failure) {
+  private void notifyFailed(Hop hop, Failure failure) {
     if (node != null) {
       node.failed(hop, failure);
     }
   }
 
-  /** Keeps own connections alive and finds those whose other end is gone (RFC 5626). */
+  /** Pings outbound connections and resets those that left the last ping unanswered (RFC 5626). */
   private void pingAll() {
-    for (Stream peer : streams.all()) {
-      Framing framing = (Framing) peer.attachment();
-      if (peer.outbound() && peer.open() && framing.pinged) {
-        abort(peer);
-      } else if (peer.outbound() && peer.open()) {
-        framing.pinged = peer.send(PING);
+    for (Stream stream : streams.all()) {
+      StreamState state = (StreamState) stream.attachment();
+      if (stream.outbound() && stream.isOpen() && state.awaitingPong) {
+        abort(stream);
+      } else if (stream.outbound() && stream.isOpen()) {
+        state.awaitingPong = stream.send(PING);
       }
     }
     loop.after(limits.pingIntervalMillis(), this::pingAll);
   }
 
-  // ---- Faults for rehearsals ----------------------------------------------------------------
+  // ---- Fault injection for rehearsals -------------------------------------------------------
 
-  /** Resets all stream connections. On the loop's thread. */
+  /** Resets all stream connections, on the event loop thread. */
   public void resetConnections() {
     streams.all().forEach(this::abort);
   }
 
-  /** Takes the node off the network, or binds it again to its port. On the loop's thread. */
-  public void setReachable(boolean on) throws IOException {
-    if (!on) {
+  /** Unbinds the node from the network or binds it to its port again, on the event loop thread. */
+  public void setReachable(boolean reachable) throws IOException {
+    if (!reachable) {
       streams.stopListening();
-      if (bound != null) {
-        bound.terminateSilently();
-        bound = null;
+      if (datagramConnection != null) {
+        datagramConnection.terminateSilently();
+        datagramConnection = null;
       }
       resetConnections();
-    } else if (bound == null) {
+    } else if (datagramConnection == null) {
       bind();
     }
   }
@@ -237,83 +249,83 @@
   @Override
   public void close() {
     streams.stopListening();
-    if (bound != null) {
-      bound.terminateSilently();
+    if (datagramConnection != null) {
+      datagramConnection.terminateSilently();
     }
   }
 
-  // ---- Filters, in the selectors' threads ---------------------------------------------------
+  // ---- Filters, on the selector threads -----------------------------------------------------
 
   private static Hop hop(Transport transport, Object address) {
-    InetSocketAddress socket = (InetSocketAddress) address;
-    return new Hop(transport, socket.getAddress().getHostAddress(), socket.getPort());
+    InetSocketAddress socketAddress = (InetSocketAddress) address;
+    return new Hop(transport, socketAddress.getAddress().getHostAddress(), socketAddress.getPort());
   }
 
-  private boolean deliver(Hop from, byte[] message, double arrived) {
+  private boolean deliver(Hop from, byte[] message, double arrivedMillis) {
     return loop.offer(
         () -> {
           if (node != null) {
-            node.receive(from, message, arrived);
+            node.receive(from, message, arrivedMillis);
           }
         });
   }
 
-  /** One datagram, one message. */
+  /** Delivers each datagram as one message. */
   private final class DatagramFilter extends BaseFilter {
     @Override
     public NextAction handleRead(FilterChainContext context) {
       Hop from = hop(Transport.UDP, context.getAddress());
-      deliver(from, Sockets.octets(context), loop.now());
+      deliver(from, Sockets.consume(context), loop.now());
       return context.getStopAction();
     }
   }
 
-  /** What is kept with a stream: its hop, its framer, and whether a ping is out on it. */
-  private final class Framing {
+  /** State attached to a stream: its hop, its framer and whether a ping is outstanding. */
+  private final class StreamState {
     final Hop hop;
     final StreamFramer framer = new StreamFramer(limits.maxHeadBytes(), limits.maxBodyBytes());
-    boolean pinged;
+    boolean awaitingPong;
 
-    Framing(Hop hop) {
+    StreamState(Hop hop) {
       this.hop = hop;
     }
   }
 
-  /** Cuts streams into messages and tells of connections that come and go. */
-  private final class StreamUser implements Streams.Listener {
+  /** Splits streams into messages and tracks connections that are accepted or lost. */
+  private final class StreamListener implements Streams.Listener {
     @Override
     public void accepted(Stream stream) {
-      if (bound == null) {
+      if (datagramConnection == null) {
         streams.reset(stream);
         return;
       }
-      peers.put(hop(stream), stream);
+      streamsByHop.put(hop(stream), stream);
     }
 
     @Override
     public void lost(Stream stream, Streams.Loss loss) {
-      boolean broke = loss == Streams.Loss.CLOSED;
-      SocketNode.this.lost(stream, broke ? Failure.RESET : Failure.REFUSED);
+      boolean closed = loss == Streams.Loss.CLOSED;
+      SocketNode.this.lost(stream, closed ? Failure.RESET : Failure.REFUSED);
     }
 
     @Override
     public void accepting(Stream stream) {
-      stream.attachment(new Framing(SocketNode.hop(Transport.TCP, stream.remote())));
+      stream.attachment(new StreamState(SocketNode.hop(Transport.TCP, stream.remote())));
     }
 
     @Override
-    public void read(Stream stream, byte[] octets, double arrived) {
-      Framing framing = (Framing) stream.attachment();
+    public void read(Stream stream, byte[] octets, double arrivedMillis) {
+      StreamState state = (StreamState) stream.attachment();
       if (octets.length <= PING.length) {
-        loop.offer(() -> framing.pinged = false);
+        loop.offer(() -> state.awaitingPong = false);
       }
       try {
-        framing.framer.feed(
+        state.framer.feed(
             octets,
             0,
             octets.length,
             message -> {
-              if (!deliver(framing.hop, message, arrived)) {
+              if (!deliver(state.hop, message, arrivedMillis)) {
                 stream.close();
               }
             },
--- a/net/src/main/java/coveladder/net/Sockets.java
+++ b/net/src/main/java/coveladder/net/Sockets.java
@@ -19,54 +19,64 @@
 import org.glassfish.grizzly.nio.transport.UDPNIOTransportBuilder;
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
-/** The Grizzly transports of a process; all its nodes share their selector threads. */
+/** The Grizzly transports of a process; all nodes of the process share their selector threads. */
 public final class Sockets implements AutoCloseable {
-  private static final int DATAGRAM = 65_536;
-  private static final int BACKLOG = 4_096;
+  private static final int MAX_DATAGRAM_BYTES = 65_536;
+
+  /** Maximum number of connections that wait to be accepted by the process. */
+  private static final int ACCEPT_BACKLOG = 4_096;
 
   private final TCPNIOTransport tcp;
   private final UDPNIOTransport udp;
 
-  /** Starts the transports with so many selector threads each. */
-  public Sockets(int selectors) throws IOException {
-    this(selectors, true);
+  /**
+   * Starts the TCP and UDP transports.
+   *
+   * @param selectorThreads number of selector threads of each transport
+   */
+  public Sockets(int selectorThreads) throws IOException {
+    this(selectorThreads, true);
   }
 
-  /** Starts a transport for streams alone; no datagrams are sent or taken. */
-  public static Sockets streamsOnly(int selectors) throws IOException {
-    return new Sockets(selectors, false);
+  /**
+   * Starts the TCP transport only; datagrams are neither sent nor received.
+   *
+   * @param selectorThreads number of selector threads
+   */
+  public static Sockets streamsOnly(int selectorThreads) throws IOException {
+    return new Sockets(selectorThreads, false);
   }
 
-  private Sockets(int selectors, boolean datagrams) throws IOException {
+  private Sockets(int selectorThreads, boolean datagrams) throws IOException {
     tcp =
         TCPNIOTransportBuilder.newInstance()
             .setIOStrategy(SameThreadIOStrategy.getInstance())
             .setReuseAddress(true)
             .setTcpNoDelay(true)
-            .setServerConnectionBackLog(BACKLOG)
-            .setSelectorRunnersCount(selectors)
+            .setServerConnectionBackLog(ACCEPT_BACKLOG)
+            .setSelectorRunnersCount(selectorThreads)
             .build();
     tcp.start();
-    udp = datagrams ? datagrams(selectors) : null;
+    udp = datagrams ? startUdp(selectorThreads) : null;
   }
 
-  private static UDPNIOTransport datagrams(int selectors) throws IOException {
-    UDPNIOTransport made =
+  private static UDPNIOTransport startUdp(int selectorThreads) throws IOException {
+    UDPNIOTransport transport =
         UDPNIOTransportBuilder.newInstance()
             .setIOStrategy(SameThreadIOStrategy.getInstance())
-            .setReadBufferSize(DATAGRAM)
-            .setSelectorRunnersCount(selectors)
+            .setReadBufferSize(MAX_DATAGRAM_BYTES)
+            .setSelectorRunnersCount(selectorThreads)
             .build();
-    made.start();
-    return made;
+    transport.start();
+    return transport;
   }
 
   static FilterChain chain(org.glassfish.grizzly.filterchain.Filter last) {
     return FilterChainBuilder.stateless().add(new TransportFilter()).add(last).build();
   }
 
-  /** What was read; its buffer is given back. */
-  static byte[] octets(FilterChainContext context) {
+  /** Returns the bytes that were read and releases their buffer. */
+  static byte[] consume(FilterChainContext context) {
     Buffer buffer = context.getMessage();
     byte[] octets = new byte[buffer.remaining()];
     buffer.get(octets);
@@ -76,7 +86,7 @@
 
   Connection<SocketAddress> listen(FilterChain chain, InetSocketAddress address)
       throws IOException {
-    return TCPNIOBindingHandler.builder(tcp).processor(chain).build().bind(address, BACKLOG);
+    return TCPNIOBindingHandler.builder(tcp).processor(chain).build().bind(address, ACCEPT_BACKLOG);
   }
 
   Connection<SocketAddress> bind(FilterChain chain, InetSocketAddress address) throws IOException {
@@ -84,8 +94,8 @@
   }
 
   @SuppressWarnings("rawtypes")
-  void connect(FilterChain chain, InetSocketAddress to, CompletionHandler<Connection> done) {
-    TCPNIOConnectorHandler.builder(tcp).processor(chain).build().connect(to, null, done);
+  void connect(FilterChain chain, InetSocketAddress to, CompletionHandler<Connection> completion) {
+    TCPNIOConnectorHandler.builder(tcp).processor(chain).build().connect(to, null, completion);
   }
 
   @Override
--- a/net/src/main/java/coveladder/net/Stream.java
+++ b/net/src/main/java/coveladder/net/Stream.java
@@ -14,80 +14,89 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.nio.NIOConnection;
 
-/** One stream connection, being made or open, with what waits to be written to it. */
+/** A stream connection, being established or open, with the bytes queued for it. */
 public final class Stream {
-  private static final long TOGETHER = 8;
+  /** Limit on the queued bytes of all streams together, in multiples of the limit of one. */
+  private static final long TOTAL_LIMIT_FACTOR = 8;
 
   private final InetSocketAddress remote;
   private final boolean outbound;
-  private final int most;
-  private final AtomicLong total;
-  private final ArrayDeque<byte[]> early = new ArrayDeque<>();
-  private final AtomicLong waiting = new AtomicLong();
+  private final int maxQueuedBytes;
+  private final AtomicLong totalQueuedBytes;
+  private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
+  private final AtomicLong queuedBytes = new AtomicLong();
   private Connection<SocketAddress> connection;
   private Object attachment;
-  private boolean closing;
+  private boolean closeRequested;
 
   /**
-   * Makes a stream.
+   * Creates a stream that has no connection yet.
    *
-   * @param own whether this node connects it
-   * @param most most octets that wait to be written; eight times as much on all streams together
-   * @param total octets that wait on all streams of the node
+   * @param outbound whether this node initiates the connection
+   * @param maxQueuedBytes maximum number of queued bytes; eight times as much for all streams
+   *     together
+   * @param totalQueuedBytes counter of the bytes queued on all streams of the node
    */
-  Stream(InetSocketAddress remote, boolean own, int most, AtomicLong total) {
+  Stream(
+      InetSocketAddress remote, boolean outbound, int maxQueuedBytes, AtomicLong totalQueuedBytes) {
     this.remote = remote;
-    this.outbound = own;
-    this.most = most;
-    this.total = total;
+    this.outbound = outbound;
+    this.maxQueuedBytes = maxQueuedBytes;
+    this.totalQueuedBytes = totalQueuedBytes;
   }
 
-  /** The other end. */
+  /** Returns the address of the peer. */
   public InetSocketAddress remote() {
     return remote;
   }
 
-  /** Whether this node connected it. */
+  /** Returns whether this node initiated the connection. */
   public boolean outbound() {
     return outbound;
   }
 
-  /** Whether it was made. */
-  public boolean open() {
+  /** Returns whether the connection was established. */
+  public boolean isOpen() {
     return connection != null;
   }
 
-  /** What its user keeps with it. */
+  /** Returns the object that the listener attached, or null. */
   public Object attachment() {
     return attachment;
   }
 
-  /** Keeps something of its user with it. */
-  public void attachment(Object kept) {
-    attachment = kept;
+  /** Attaches an object of the listener. */
+  public void attachment(Object newAttachment) {
+    attachment = newAttachment;
   }
 
   Connection<SocketAddress> connection() {
     return connection;
   }
 
-  /** The connection is made: what waited leaves. */
-  void opened(Connection<SocketAddress> made) {
-    connection = made;
-    while (!early.isEmpty()) {
-      transmit(early.poll());
+  /** Records the established connection and writes the bytes queued for it. */
+  void opened(Connection<SocketAddress> newConnection) {
+    connection = newConnection;
+    while (!unsent.isEmpty()) {
+      transmit(unsent.poll());
     }
   }
 
-  /** Sends octets, or keeps them until the connection is made; false where too much waits. */
+  /**
+   * Sends bytes, or queues them until the connection is established.
+   *
+   * @return false if too many bytes are queued on this stream, or on all streams together while
+   *     this one has other bytes queued
+   */
   public boolean send(byte[] octets) {
-    long own = waiting.addAndGet(octets.length);
-    long all = total.addAndGet(octets.length);
-    if (own > most || all > TOGETHER * most && own > octets.length) {
+    long streamBytes = queuedBytes.addAndGet(octets.length);
+    long totalBytes = totalQueuedBytes.addAndGet(octets.length);
+    if (streamBytes > maxQueuedBytes
+        || totalBytes > TOTAL_LIMIT_FACTOR * maxQueuedBytes && streamBytes > octets.length) {
       return false;
     }
     if (connection == null) {
-      early.add(octets);
+      unsent.add(octets);
     } else {
       transmit(octets);
     }
@@ -101,41 +110,41 @@
         new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
           @Override
           public void completed(WriteResult<Buffer, SocketAddress> result) {
-            left(octets.length);
+            releaseQueued(octets.length);
           }
 
           @Override
           public void failed(Throwable cause) {
-            left(octets.length);
+            releaseQueued(octets.length);
           }
 
           @Override
           public void cancelled() {
-            left(octets.length);
+            releaseQueued(octets.length);
           }
         });
   }
 
-  /** Octets wait no more, written or not. */
-  private void left(int length) {
-    total.addAndGet(-length);
-    if (waiting.addAndGet(-length) == 0 && closing) {
+  /** Subtracts bytes that are no longer queued, whether written or discarded. */
+  private void releaseQueued(int length) {
+    totalQueuedBytes.addAndGet(-length);
+    if (queuedBytes.addAndGet(-length) == 0 && closeRequested) {
       close();
     }
   }
 
-  /** Closes once what waits has left. */
+  /** Closes the connection once all queued bytes are written. */
   void closeWhenSent() {
-    closing = true;
-    if (waiting.get() == 0) {
+    closeRequested = true;
+    if (queuedBytes.get() == 0) {
       close();
     }
   }
 
-  /** It is held no more: what waited for it to be made never leaves. */
-  void forget() {
-    while (!early.isEmpty()) {
-      left(early.poll().length);
+  /** Discards the bytes that waited for the connection to be established. */
+  void discardUnsent() {
+    while (!unsent.isEmpty()) {
+      releaseQueued(unsent.poll().length);
     }
   }
 
@@ -145,11 +154,12 @@
     }
   }
 
-  /** Closes with a reset, as a machine does that lost its state. */
+  /** Closes the connection with a reset, as a host does that lost its state. */
   void abort() {
-    if (connection instanceof NIOConnection nio && nio.getChannel() instanceof SocketChannel raw) {
+    if (connection instanceof NIOConnection nio
+        && nio.getChannel() instanceof SocketChannel channel) {
       try {
-        raw.setOption(StandardSocketOptions.SO_LINGER, 0);
+        channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
         // The channel is closed already: there is nothing left to reset.
         return;
--- a/net/src/main/java/coveladder/net/Streams.java
+++ b/net/src/main/java/coveladder/net/Streams.java
@@ -22,8 +22,9 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The stream connections of one node, whatever is spoken on them: made, taken, bounded, closed and
- * reset. All but {@link Listener#read} happens in the thread of the event loop.
+ * Manages the stream connections of one node, independent of their protocol: connects, accepts,
+ * limits, closes and resets them. Everything except {@link Listener#accepting} and {@link
+ * Listener#read} runs on the event loop thread.
  */
 public final class Streams {
   private static final Attribute<Stream> STREAM =
@@ -31,197 +32,203 @@
 
   private final Sockets sockets;
   private final EventLoop loop;
-  private final Limits bounds;
-  private final Listener user;
+  private final Limits limits;
+  private final Listener listener;
   private final FilterChain chain = Sockets.chain(new StreamFilter());
-  private final Set<Stream> held = new LinkedHashSet<>();
-  private final Map<Connection<SocketAddress>, Stream> byConnection = new IdentityHashMap<>();
-  private final AtomicInteger taken = new AtomicInteger();
-  private final AtomicLong waiting = new AtomicLong();
-  private Connection<SocketAddress> listening;
+  private final Set<Stream> streams = new LinkedHashSet<>();
+  private final Map<Connection<SocketAddress>, Stream> streamsByConnection =
+      new IdentityHashMap<>();
+  private final AtomicInteger inboundCount = new AtomicInteger();
+  private final AtomicLong totalQueuedBytes = new AtomicLong();
+  private Connection<SocketAddress> serverConnection;
 
   /**
-   * Bounds of a node's connections.
+   * Limits of a node's connections.
    *
-   * @param maxConnections most connections in all
-   * @param maxAccepted most connections taken from others; one more is closed as it comes
-   * @param maxQueuedBytes most octets that wait to be written to one; eight times as much to all
-   * @param connectTimeoutMillis time for a connection to be made, ms
+   * @param maxConnections maximum number of connections, inbound and outbound
+   * @param maxAccepted maximum number of inbound connections; further ones are closed at once
+   * @param maxQueuedBytes maximum number of bytes queued on one stream; eight times as much on all
+   *     streams together
+   * @param connectTimeoutMillis time allowed to establish a connection, ms
    */
   public record Limits(
       int maxConnections, int maxAccepted, int maxQueuedBytes, double connectTimeoutMillis) {}
 
-  /** Why a connection is no more. */
+  /** Reason why a connection was lost. */
   public enum Loss {
-    /** It was closed or broke. */
+    /** The connection was closed or reset. */
     CLOSED,
-    /** The other end turned it away: nothing listens there. */
+    /** The peer refused the connection: nothing listens at its address. */
     TURNED_AWAY,
-    /** It was not made in time, or there was no room for it. */
+    /** The connection was not established in time, or the limit on connections was reached. */
     NOT_MADE
   }
 
-  /** Hears of the connections. */
+  /** Receives the events of the connections. */
   public interface Listener {
-    /** Another node connects, in the selector's thread, before anything else of the stream. */
+    /** A peer is connecting; called on a selector thread, before any other event of the stream. */
     default void accepting(Stream stream) {}
 
-    /** Another node connected. */
+    /** A connection from a peer was accepted. */
     void accepted(Stream stream);
 
     /**
-     * Whether the coming and the going of connections that others make are told before timers and
-     * ordinary tasks; what they bring must then be handed over by {@link
+     * Returns whether the accepting and closing of inbound connections are reported before timers
+     * and ordinary tasks. Bytes read from them must then be submitted by {@link
      * EventLoop#executePrioritized}.
      */
     default boolean prioritizesAccepted() {
       return false;
     }
 
-    /** An own connection is made; what waited for it has left. */
+    /** An outbound connection was established, and the bytes queued for it were passed on. */
     default void connected(Stream stream) {}
 
-    /** A connection is no more, without this node's doing. */
+    /** A connection was lost without having been closed or reset by this node. */
     void lost(Stream stream, Loss loss);
 
     /**
-     * Octets came, in the selector's thread; what is to happen goes to the loop.
+     * Bytes were read; called on a selector thread. Processing must be submitted to the event loop.
      *
-     * @param arrived clock at the read, ms
+     * @param arrivedMillis event loop clock at the read, ms
      */
-    void read(Stream stream, byte[] octets, double arrived);
+    void read(Stream stream, byte[] octets, double arrivedMillis);
   }
 
-  /** Makes the connections of a node; none yet. */
-  public Streams(Sockets sockets, EventLoop loop, Limits bounds, Listener user) {
+  /** Creates a manager without connections. */
+  public Streams(Sockets sockets, EventLoop loop, Limits limits, Listener listener) {
     this.sockets = sockets;
     this.loop = loop;
-    this.bounds = bounds;
-    this.user = user;
+    this.limits = limits;
+    this.listener = listener;
   }
 
-  /** Takes connections at an address; the port that was bound. */
+  /**
+   * Accepts connections at an address.
+   *
+   * @return the port that was bound
+   */
   public int listen(InetSocketAddress address) throws IOException {
-    listening = sockets.listen(chain, address);
-    return ((InetSocketAddress) listening.getLocalAddress()).getPort();
+    serverConnection = sockets.listen(chain, address);
+    return ((InetSocketAddress) serverConnection.getLocalAddress()).getPort();
   }
 
-  /** Takes no more connections. */
+  /** Stops accepting connections. */
   public void stopListening() {
-    if (listening != null) {
-      listening.terminateSilently();
-      listening = null;
+    if (serverConnection != null) {
+      serverConnection.terminateSilently();
+      serverConnection = null;
     }
   }
 
-  /** Whether a connection is held still. */
+  /** Returns whether a connection is still managed here. */
   public boolean contains(Stream stream) {
-    return held.contains(stream);
+    return streams.contains(stream);
   }
 
-  /** Connections held, those being made included. */
+  /** Returns the number of connections, including those being established. */
   public int size() {
-    return held.size();
+    return streams.size();
   }
 
-  /** All connections held. */
+  /** Returns a copy of the list of connections, including those being established. */
   public List<Stream> all() {
-    return new ArrayList<>(held);
+    return new ArrayList<>(streams);
   }
 
-  /** Begins to connect; what comes of it is told later, also where there is no room. */
+  /** Starts to connect; the listener hears of the result later, even if the limit is reached. */
   public Stream connect(InetSocketAddress to) {
-    Stream stream = new Stream(to, true, bounds.maxQueuedBytes(), waiting);
-    held.add(stream);
-    if (held.size() > bounds.maxConnections() || to.isUnresolved()) {
+    Stream stream = new Stream(to, true, limits.maxQueuedBytes(), totalQueuedBytes);
+    streams.add(stream);
+    if (streams.size() > limits.maxConnections() || to.isUnresolved()) {
       loop.after(0, () -> drop(stream, Loss.NOT_MADE));
       return stream;
     }
-    loop.after(bounds.connectTimeoutMillis(), () -> notMade(stream, Loss.NOT_MADE));
-    sockets.connect(chain, to, new Connecting(stream));
+    loop.after(limits.connectTimeoutMillis(), () -> dropIfNotOpen(stream, Loss.NOT_MADE));
+    sockets.connect(chain, to, new ConnectHandler(stream));
     return stream;
   }
 
-  /** Closes once what waits has left; nothing more is told of it. */
+  /** Closes a connection once its queued bytes are written; the listener hears no more of it. */
   public void close(Stream stream) {
-    forget(stream);
+    remove(stream);
     stream.closeWhenSent();
   }
 
-  /** Closes with a reset; nothing more is told of it. */
+  /** Resets a connection; the listener hears no more of it. */
   public void reset(Stream stream) {
-    forget(stream);
+    remove(stream);
     stream.abort();
   }
 
-  private void notMade(Stream stream, Loss loss) {
-    if (!stream.open()) {
+  private void dropIfNotOpen(Stream stream, Loss loss) {
+    if (!stream.isOpen()) {
       drop(stream, loss);
     }
   }
 
   private void drop(Stream stream, Loss loss) {
-    if (forget(stream)) {
-      user.lost(stream, loss);
+    if (remove(stream)) {
+      listener.lost(stream, loss);
     }
   }
 
-  private boolean forget(Stream stream) {
-    if (stream.open()) {
-      byConnection.remove(stream.connection());
+  private boolean remove(Stream stream) {
+    if (stream.isOpen()) {
+      streamsByConnection.remove(stream.connection());
     }
-    stream.forget();
-    return held.remove(stream);
+    stream.discardUnsent();
+    return streams.remove(stream);
   }
 
-  /** Hears of a connection being made, in a selector's thread. */
+  /** Reports the result of a connection attempt, on a selector thread. */
   @SuppressWarnings({"rawtypes", "unchecked"})
-  private final class Connecting extends EmptyCompletionHandler<Connection> {
+  private final class ConnectHandler extends EmptyCompletionHandler<Connection> {
     private final Stream stream;
 
-    Connecting(Stream stream) {
+    ConnectHandler(Stream stream) {
       this.stream = stream;
     }
 
     @Override
-    public void completed(Connection made) {
-      STREAM.set(made, stream);
-      loop.execute(() -> made(stream, made));
+    public void completed(Connection connection) {
+      STREAM.set(connection, stream);
+      loop.execute(() -> connected(stream, connection));
     }
 
     @Override
     public void failed(Throwable cause) {
-      boolean turnedAway = cause instanceof ConnectException;
-      loop.execute(() -> notMade(stream, turnedAway ? Loss.TURNED_AWAY : Loss.NOT_MADE));
+      boolean refused = cause instanceof ConnectException;
+      loop.execute(() -> dropIfNotOpen(stream, refused ? Loss.TURNED_AWAY : Loss.NOT_MADE));
     }
   }
 
-  private void made(Stream stream, Connection<SocketAddress> made) {
-    if (!held.contains(stream)) {
-      made.terminateSilently();
+  private void connected(Stream stream, Connection<SocketAddress> connection) {
+    if (!streams.contains(stream)) {
+      connection.terminateSilently();
       return;
     }
-    byConnection.put(made, stream);
-    stream.opened(made);
-    user.connected(stream);
-    if (!made.isOpen()) {
+    streamsByConnection.put(connection, stream);
+    stream.opened(connection);
+    listener.connected(stream);
+    if (!connection.isOpen()) {
       drop(stream, Loss.CLOSED);
     }
   }
 
-  private void accepted(Stream stream, Connection<SocketAddress> made) {
-    if (held.size() >= bounds.maxConnections()) {
-      made.terminateSilently();
+  private void accepted(Stream stream, Connection<SocketAddress> connection) {
+    if (streams.size() >= limits.maxConnections()) {
+      connection.terminateSilently();
       return;
     }
-    held.add(stream);
-    byConnection.put(made, stream);
-    stream.opened(made);
-    user.accepted(stream);
+    streams.add(stream);
+    streamsByConnection.put(connection, stream);
+    stream.opened(connection);
+    listener.accepted(stream);
   }
 
   private void closed(Connection<SocketAddress> connection) {
-    Stream stream = byConnection.get(connection);
+    Stream stream = streamsByConnection.get(connection);
     if (stream != null) {
       drop(stream, Loss.CLOSED);
     }
@@ -232,32 +239,32 @@
     return context.getConnection();
   }
 
-  /** In the selectors' threads: hands over what comes. */
+  /** Passes inbound events on; runs on the selector threads. */
   private final class StreamFilter extends BaseFilter {
     @Override
     public NextAction handleAccept(FilterChainContext context) {
       Connection<SocketAddress> connection = connection(context);
-      if (taken.incrementAndGet() > bounds.maxAccepted()) {
-        taken.decrementAndGet();
+      if (inboundCount.incrementAndGet() > limits.maxAccepted()) {
+        inboundCount.decrementAndGet();
         connection.terminateSilently();
         return context.getInvokeAction();
       }
-      InetSocketAddress from = (InetSocketAddress) connection.getPeerAddress();
-      Stream stream = new Stream(from, false, bounds.maxQueuedBytes(), waiting);
+      InetSocketAddress remote = (InetSocketAddress) connection.getPeerAddress();
+      Stream stream = new Stream(remote, false, limits.maxQueuedBytes(), totalQueuedBytes);
       STREAM.set(connection, stream);
-      user.accepting(stream);
-      hand(stream, () -> accepted(stream, connection));
+      listener.accepting(stream);
+      dispatch(stream, () -> accepted(stream, connection));
       return context.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext context) {
-      double arrived = loop.now();
+      double arrivedMillis = loop.now();
       Connection<SocketAddress> connection = connection(context);
-      byte[] octets = Sockets.octets(context);
+      byte[] octets = Sockets.consume(context);
       Stream stream = STREAM.get(connection);
       if (stream != null) {
-        user.read(stream, octets, arrived);
+        listener.read(stream, octets, arrivedMillis);
       }
       return context.getStopAction();
     }
@@ -267,14 +274,14 @@
       Connection<SocketAddress> connection = connection(context);
       Stream stream = STREAM.get(connection);
       if (stream != null && !stream.outbound()) {
-        taken.decrementAndGet();
+        inboundCount.decrementAndGet();
       }
-      hand(stream, () -> closed(connection));
+      dispatch(stream, () -> closed(connection));
       return context.getInvokeAction();
     }
 
-    private void hand(Stream stream, Runnable task) {
-      if (stream != null && !stream.outbound() && user.prioritizesAccepted()) {
+    private void dispatch(Stream stream, Runnable task) {
+      if (stream != null && !stream.outbound() && listener.prioritizesAccepted()) {
         loop.executePrioritized(task);
       } else {
         loop.execute(task);
--- a/net/src/test/java/coveladder/net/SocketNodeTest.java
+++ b/net/src/test/java/coveladder/net/SocketNodeTest.java
@@ -24,11 +24,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests a node on real sockets of the loopback interface. */
 class SocketNodeTest {
   private static final String HOST = "127.0.0.1";
   private static final SocketLimits LIMITS = new SocketLimits(2_000, 3_000, 3, 50_000, 400, 30_000);
 
-  private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
   private final BlockingQueue<Hop> sources = new LinkedBlockingQueue<>();
   private Sockets sockets;
   private EventLoop loop;
@@ -44,21 +45,21 @@
         new SipNode() {
           @Override
           public void start() {
-            heard.add("started");
+            events.add("started");
           }
 
           @Override
-          public void receive(Hop from, byte[] message, double arrived) {
+          public void receive(Hop from, byte[] message, double arrivedMillis) {
             sources.add(from);
-            heard.add(new String(message, StandardCharsets.ISO_8859_1));
+            events.add(new String(message, StandardCharsets.ISO_8859_1));
           }
 
           @Override
           public void failed(Hop hop, Failure failure) {
-            heard.add(failure + " " + hop.port());
+            events.add(failure + " " + hop.port());
           }
         });
-    assertEquals("started", next());
+    assertEquals("started", nextEvent());
   }
 
   @AfterEach
@@ -68,9 +69,9 @@
     sockets.close();
   }
 
-  private String next() {
+  private String nextEvent() {
     try {
-      return heard.poll(10, TimeUnit.SECONDS);
+      return events.poll(10, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       throw new IllegalStateException(e);
     }
@@ -87,18 +88,18 @@
       byte[] datagram = bytes("by datagram");
       InetAddress to = InetAddress.getByName(HOST);
       udp.send(new DatagramPacket(datagram, datagram.length, to, node.port()));
-      assertEquals("by datagram", next());
+      assertEquals("by datagram", nextEvent());
       String message = "A b SIP/2.0\r\nl: 3\r\n\r\nxyz";
       tcp.getOutputStream().write(bytes(message));
-      assertEquals(message, next());
+      assertEquals(message, nextEvent());
     }
   }
 
   @Test
-  void answersLeaveByTheConnectionThatCameIn() throws Exception {
+  void responsesUseTheConnectionOfTheRequest() throws Exception {
     try (Socket tcp = new Socket(HOST, node.port())) {
       tcp.getOutputStream().write(bytes("A b SIP/2.0\r\nl: 0\r\n\r\n"));
-      assertNotNull(next());
+      assertNotNull(nextEvent());
       Hop from = sources.poll(10, TimeUnit.SECONDS);
       assertEquals(tcp.getLocalPort(), from.port());
       loop.offer(() -> node.send(from, bytes("answer")));
@@ -107,7 +108,7 @@
   }
 
   @Test
-  void aMessageCutAnywhereIsOneMessage() throws IOException {
+  void fragmentedMessagesAreReassembled() throws IOException {
     String message = "A b SIP/2.0\r\nContent-Length: 4\r\n\r\nbody";
     try (Socket tcp = new Socket(HOST, node.port())) {
       tcp.setTcpNoDelay(true);
@@ -115,13 +116,13 @@
         tcp.getOutputStream().write(octet);
         tcp.getOutputStream().flush();
       }
-      assertEquals(message, next());
-      assertEquals(message, next());
+      assertEquals(message, nextEvent());
+      assertEquals(message, nextEvent());
     }
   }
 
   @Test
-  void aPingIsAnsweredByAPong() throws IOException {
+  void pingIsAnsweredByPong() throws IOException {
     try (Socket tcp = new Socket(HOST, node.port())) {
       tcp.getOutputStream().write(bytes("\r\n\r\n"));
       assertArrayEquals(bytes("\r\n"), tcp.getInputStream().readNBytes(2));
@@ -129,17 +130,17 @@
   }
 
   @Test
-  void aRefusedConnectionIsToldAsSuch() throws IOException {
-    int closed;
-    try (ServerSocket free = new ServerSocket(0)) {
-      closed = free.getLocalPort();
+  void refusedConnectionIsReported() throws IOException {
+    int closedPort;
+    try (ServerSocket server = new ServerSocket(0)) {
+      closedPort = server.getLocalPort();
     }
-    loop.offer(() -> node.send(new Hop(Transport.TCP, HOST, closed), bytes("x")));
-    assertEquals("REFUSED " + closed, next());
+    loop.offer(() -> node.send(new Hop(Transport.TCP, HOST, closedPort), bytes("x")));
+    assertEquals("REFUSED " + closedPort, nextEvent());
   }
 
   @Test
-  void aResetIsToldAndTheNextMessageConnectsAnew() throws IOException {
+  void resetIsReportedAndNextMessageReconnects() throws IOException {
     try (ServerSocket server = new ServerSocket(0)) {
       Hop to = new Hop(Transport.TCP, HOST, server.getLocalPort());
       loop.offer(() -> node.send(to, bytes("one")));
@@ -147,7 +148,7 @@
         assertArrayEquals(bytes("one"), first.getInputStream().readNBytes(3));
         first.setSoLinger(true, 0);
       }
-      assertEquals("RESET " + to.port(), next());
+      assertEquals("RESET " + to.port(), nextEvent());
       loop.offer(() -> node.send(to, bytes("two")));
       try (Socket second = server.accept()) {
         assertArrayEquals(bytes("two"), second.getInputStream().readNBytes(3));
@@ -156,30 +157,30 @@
   }
 
   @Test
-  void aPeerThatReadsNothingIsLetGoAtItsBound() throws IOException {
+  void peerThatDoesNotReadIsDisconnectedAtQueueLimit() throws IOException {
     try (ServerSocket server = new ServerSocket(0)) {
       Hop to = new Hop(Transport.TCP, HOST, server.getLocalPort());
-      byte[] much = new byte[40_000];
+      byte[] message = new byte[40_000];
       for (int i = 0; i < 900; i++) {
-        loop.offer(() -> node.send(to, much));
+        loop.offer(() -> node.send(to, message));
         if (node.overflowDisconnects() > 0) {
           break;
         }
       }
-      assertEquals("RESET " + to.port(), next());
+      assertEquals("RESET " + to.port(), nextEvent());
     }
   }
 
   @Test
-  void oneConnectionTooManyIsClosed() throws IOException {
+  void connectionAboveLimitIsClosed() throws IOException {
     Socket[] open = new Socket[LIMITS.maxConnections()];
     for (int i = 0; i < open.length; i++) {
       open[i] = new Socket(HOST, node.port());
       open[i].getOutputStream().write(bytes("A b SIP/2.0\r\nl: 0\r\n\r\n"));
-      assertNotNull(next());
+      assertNotNull(nextEvent());
     }
-    try (Socket more = new Socket(HOST, node.port())) {
-      assertEnded(more.getInputStream());
+    try (Socket extra = new Socket(HOST, node.port())) {
+      assertConnectionClosed(extra.getInputStream());
     }
     for (Socket socket : open) {
       socket.close();
@@ -187,14 +188,14 @@
   }
 
   @Test
-  void aHeaderBeyondItsBoundEndsTheConnection() throws IOException {
+  void oversizedHeaderClosesConnection() throws IOException {
     try (Socket tcp = new Socket(HOST, node.port())) {
       tcp.getOutputStream().write(new byte[LIMITS.maxHeadBytes() + 10]);
-      assertEnded(tcp.getInputStream());
+      assertConnectionClosed(tcp.getInputStream());
     }
   }
 
-  private static void assertEnded(InputStream in) {
+  private static void assertConnectionClosed(InputStream in) {
     int read;
     try {
       read = in.read();
@@ -205,7 +206,7 @@
   }
 
   @Test
-  void aPortInUseIsNamedInTheError() {
+  void bindErrorNamesThePort() {
     IOException error =
         assertThrows(
             IOException.class, () -> new SocketNode(sockets, loop, LIMITS, HOST, node.port(), 1));
--- a/net/src/test/java/coveladder/net/StreamsTest.java
+++ b/net/src/test/java/coveladder/net/StreamsTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections whatever is spoken on them. */
+/** Tests connection handling independent of the protocol, and the task order of the loop. */
 class StreamsTest {
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-  private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
   private Sockets sockets;
   private EventLoop loop;
   private Streams streams;
-  private volatile Stream last;
+  private volatile Stream lastAccepted;
 
-  /** Writes down what is heard. */
-  private final class User implements Streams.Listener {
+  /** Records the events of the connections. */
+  private final class RecordingListener implements Streams.Listener {
     @Override
     public boolean prioritizesAccepted() {
       return true;
@@ -36,23 +36,23 @@
 
     @Override
     public void accepted(Stream stream) {
-      last = stream;
-      heard.add("accepted");
+      lastAccepted = stream;
+      events.add("accepted");
     }
 
     @Override
     public void connected(Stream stream) {
-      heard.add("connected");
+      events.add("connected");
     }
 
     @Override
     public void lost(Stream stream, Streams.Loss loss) {
-      heard.add("lost " + loss);
+      events.add("lost " + loss);
     }
 
     @Override
-    public void read(Stream stream, byte[] octets, double arrived) {
-      heard.add("read " + new String(octets, StandardCharsets.UTF_8));
+    public void read(Stream stream, byte[] octets, double arrivedMillis) {
+      events.add("read " + new String(octets, StandardCharsets.UTF_8));
     }
   }
 
@@ -60,7 +60,8 @@
   void start() throws IOException {
     sockets = Sockets.streamsOnly(1);
     loop = new EventLoop("test", System.nanoTime(), 100);
-    streams = new Streams(sockets, loop, new Streams.Limits(3, 2, 1_000, 5_000), new User());
+    streams =
+        new Streams(sockets, loop, new Streams.Limits(3, 2, 1_000, 5_000), new RecordingListener());
     loop.start();
   }
 
@@ -71,157 +72,160 @@
     sockets.close();
   }
 
-  private String next() throws InterruptedException {
-    return heard.poll(10, TimeUnit.SECONDS);
+  private String nextEvent() throws InterruptedException {
+    return events.poll(10, TimeUnit.SECONDS);
   }
 
   @Test
-  void connectionsAreTakenReadAndLost() throws Exception {
-    int port = streams.listen(new InetSocketAddress(HERE, 0));
-    try (Socket socket = new Socket(HERE, port)) {
-      assertEquals("accepted", next());
+  void acceptReadAndCloseAreReported() throws Exception {
+    int port = streams.listen(new InetSocketAddress(LOOPBACK, 0));
+    try (Socket socket = new Socket(LOOPBACK, port)) {
+      assertEquals("accepted", nextEvent());
       socket.getOutputStream().write("hello".getBytes(StandardCharsets.UTF_8));
-      assertEquals("read hello", next());
+      assertEquals("read hello", nextEvent());
     }
-    assertEquals("lost CLOSED", next());
+    assertEquals("lost CLOSED", nextEvent());
   }
 
   @Test
-  void oneMoreThanTheBoundIsClosedAsItComesAndRoomIsFoundAgain() throws Exception {
-    int port = streams.listen(new InetSocketAddress(HERE, 0));
-    try (Socket one = new Socket(HERE, port);
-        Socket two = new Socket(HERE, port)) {
-      assertEquals("accepted", next());
-      assertEquals("accepted", next());
-      try (Socket three = new Socket(HERE, port)) {
+  void connectionAboveLimitIsClosedAndFreedSlotIsReused() throws Exception {
+    int port = streams.listen(new InetSocketAddress(LOOPBACK, 0));
+    try (Socket one = new Socket(LOOPBACK, port);
+        Socket two = new Socket(LOOPBACK, port)) {
+      assertEquals("accepted", nextEvent());
+      assertEquals("accepted", nextEvent());
+      try (Socket three = new Socket(LOOPBACK, port)) {
         assertEquals(-1, three.getInputStream().read());
       }
       assertTrue(two.isConnected());
       one.shutdownOutput();
-      assertEquals("lost CLOSED", next());
-      try (Socket four = new Socket(HERE, port)) {
-        assertEquals("accepted", next());
+      assertEquals("lost CLOSED", nextEvent());
+      try (Socket four = new Socket(LOOPBACK, port)) {
+        assertEquals("accepted", nextEvent());
         assertTrue(four.isConnected());
       }
     }
   }
 
   @Test
-  void aConnectionTurnedAwayIsToldAsSuch() throws Exception {
-    int free;
-    try (ServerSocket gone = new ServerSocket(0, 1, HERE)) {
-      free = gone.getLocalPort();
+  void refusedConnectionIsReported() throws Exception {
+    int closedPort;
+    try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
+      closedPort = server.getLocalPort();
     }
-    loop.put(() -> streams.connect(new InetSocketAddress(HERE, free)));
-    assertEquals("lost TURNED_AWAY", next());
+    loop.put(() -> streams.connect(new InetSocketAddress(LOOPBACK, closedPort)));
+    assertEquals("lost TURNED_AWAY", nextEvent());
   }
 
   @Test
-  void whatWaitsForAConnectionLeavesWithItAndACloseComesAfter() throws Exception {
-    try (ServerSocket far = new ServerSocket(0, 1, HERE)) {
+  void queuedBytesAreSentOnConnectBeforeClose() throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
       loop.put(
           () -> {
-            Stream stream = streams.connect(new InetSocketAddress(HERE, far.getLocalPort()));
+            Stream stream = streams.connect(new InetSocketAddress(LOOPBACK, server.getLocalPort()));
             assertTrue(stream.send("early".getBytes(StandardCharsets.UTF_8)));
-            heard.add("too much " + !stream.send(new byte[1_000]));
+            events.add("send rejected " + !stream.send(new byte[1_000]));
           });
-      assertEquals("too much true", next());
-      try (Socket taken = far.accept()) {
-        assertEquals("connected", next());
-        assertEquals("early", new String(taken.getInputStream().readNBytes(5)));
+      assertEquals("send rejected true", nextEvent());
+      try (Socket accepted = server.accept()) {
+        assertEquals("connected", nextEvent());
+        assertEquals("early", new String(accepted.getInputStream().readNBytes(5)));
       }
-      assertEquals("lost CLOSED", next());
+      assertEquals("lost CLOSED", nextEvent());
     }
   }
 
-  /** Holds the loop until it is let go. */
-  private CountDownLatch held() throws InterruptedException {
-    CountDownLatch go = new CountDownLatch(1);
-    CountDownLatch holds = new CountDownLatch(1);
+  /** Blocks the loop until the returned latch is counted down. */
+  private CountDownLatch blockLoop() throws InterruptedException {
+    CountDownLatch unblock = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     loop.put(
         () -> {
-          holds.countDown();
+          blocked.countDown();
           try {
-            go.await();
+            unblock.await();
           } catch (InterruptedException e) {
             throw new IllegalStateException(e);
           }
         });
-    holds.await();
-    return go;
+    blocked.await();
+    return unblock;
   }
 
   @Test
-  void urgentNewsIsHeardBeforeWhatWaitedLonger() throws Exception {
-    CountDownLatch go = held();
-    loop.put(() -> heard.add("call"));
-    loop.executePrioritized(() -> heard.add("left"));
-    loop.executeUrgent(() -> heard.add("drain"));
-    go.countDown();
-    assertEquals("drain", next());
-    assertEquals("left", next());
-    assertEquals("call", next());
+  void urgentTasksRunBeforeEarlierTasks() throws Exception {
+    CountDownLatch unblock = blockLoop();
+    loop.put(() -> events.add("ordinary"));
+    loop.executePrioritized(() -> events.add("prioritized"));
+    loop.executeUrgent(() -> events.add("urgent"));
+    unblock.countDown();
+    assertEquals("urgent", nextEvent());
+    assertEquals("prioritized", nextEvent());
+    assertEquals("ordinary", nextEvent());
   }
 
   @Test
-  void whatWasSaidIsHeardBeforeATimerThatIsDue() throws Exception {
-    CountDownLatch set = new CountDownLatch(1);
-    CountDownLatch said = new CountDownLatch(1);
+  void prioritizedTaskRunsBeforeDueTimer() throws Exception {
+    CountDownLatch timerSet = new CountDownLatch(1);
+    CountDownLatch taskQueued = new CountDownLatch(1);
     loop.put(
         () -> {
-          loop.after(0, () -> heard.add("timer"));
-          set.countDown();
+          loop.after(0, () -> events.add("timer"));
+          timerSet.countDown();
           try {
-            said.await();
+            taskQueued.await();
           } catch (InterruptedException e) {
             throw new IllegalStateException(e);
           }
         });
-    set.await();
-    loop.executePrioritized(() -> heard.add("left"));
-    said.countDown();
-    assertEquals("left", next());
-    assertEquals("timer", next());
-  }
-
-  /** One who closes, half-closes or resets while the loop is busy is known to have gone at once. */
-  private void gone(Action ends) throws Exception {
-    int port = streams.listen(new InetSocketAddress(HERE, 0));
-    try (Socket socket = new Socket(HERE, port)) {
-      assertEquals("accepted", next());
-      CountDownLatch go = held();
-      loop.put(() -> heard.add("sent on"));
-      ends.on(socket);
+    timerSet.await();
+    loop.executePrioritized(() -> events.add("prioritized"));
+    taskQueued.countDown();
+    assertEquals("prioritized", nextEvent());
+    assertEquals("timer", nextEvent());
+  }
+
+  /**
+   * Checks that a peer that closes, half-closes or resets while the loop is busy is reported as
+   * lost before a task that was queued earlier.
+   */
+  private void assertLossPrecedesQueuedTask(SocketAction termination) throws Exception {
+    int port = streams.listen(new InetSocketAddress(LOOPBACK, 0));
+    try (Socket socket = new Socket(LOOPBACK, port)) {
+      assertEquals("accepted", nextEvent());
+      CountDownLatch unblock = blockLoop();
+      loop.put(() -> events.add("queued task"));
+      termination.apply(socket);
       while (loop.queuedTasks() < 2) {
         Thread.onSpinWait();
       }
-      go.countDown();
-      assertEquals("lost CLOSED", next());
-      assertEquals("sent on", next());
+      unblock.countDown();
+      assertEquals("lost CLOSED", nextEvent());
+      assertEquals("queued task", nextEvent());
     }
   }
 
-  /** What one end does. */
-  private interface Action {
-    void on(Socket socket) throws IOException;
+  /** An action on the socket of the peer. */
+  private interface SocketAction {
+    void apply(Socket socket) throws IOException;
   }
 
   @Test
   @Timeout(30)
-  void oneWhoClosedIsGoneBeforeWhatWaitedLonger() throws Exception {
-    gone(Socket::close);
+  void closePrecedesEarlierTask() throws Exception {
+    assertLossPrecedesQueuedTask(Socket::close);
   }
 
   @Test
   @Timeout(30)
-  void oneWhoHalfClosedIsGoneBeforeWhatWaitedLonger() throws Exception {
-    gone(Socket::shutdownOutput);
+  void halfClosePrecedesEarlierTask() throws Exception {
+    assertLossPrecedesQueuedTask(Socket::shutdownOutput);
   }
 
   @Test
   @Timeout(30)
-  void oneWhoResetIsGoneBeforeWhatWaitedLonger() throws Exception {
-    gone(
+  void resetPrecedesEarlierTask() throws Exception {
+    assertLossPrecedesQueuedTask(
         socket -> {
           socket.setSoLinger(true, 0);
           socket.close();
@@ -229,14 +233,14 @@
   }
 
   @Test
-  void answersLeaveBeforeTheCloseThatFollowsThem() throws Exception {
-    int port = streams.listen(new InetSocketAddress(HERE, 0));
-    try (Socket socket = new Socket(HERE, port)) {
-      assertEquals("accepted", next());
+  void queuedBytesAreSentBeforeClose() throws Exception {
+    int port = streams.listen(new InetSocketAddress(LOOPBACK, 0));
+    try (Socket socket = new Socket(LOOPBACK, port)) {
+      assertEquals("accepted", nextEvent());
       loop.put(
           () -> {
-            last.send("bye".getBytes(StandardCharsets.UTF_8));
-            streams.close(last);
+            lastAccepted.send("bye".getBytes(StandardCharsets.UTF_8));
+            streams.close(lastAccepted);
           });
       assertEquals("bye", new String(socket.getInputStream().readAllBytes()));
     }
