--- a/app/src/main/java/coveladder/app/Section.java
+++ b/app/src/main/java/coveladder/app/Section.java
@@ -100,10 +100,10 @@
   /** A flag, not set where it is missing. */
   boolean flag(String name) {
     KdlValue value = value(name);
-    if (value != null && value.kind() != KdlValue.Kind.FLAG) {
+    if (value != null && value.kind() != KdlValue.Kind.BOOLEAN) {
       problems.at(value, name + " is #true or #false, not " + value.text());
     }
-    return value != null && value.flag();
+    return value != null && value.booleanValue();
   }
 
   private static String plain(double number) {
--- a/app/src/main/java/coveladder/kdl/KdlReader.java
+++ b/app/src/main/java/coveladder/kdl/KdlReader.java
@@ -241,7 +241,7 @@
     in.next();
     String word = "#" + word();
     return switch (word) {
-      case "#true", "#false" -> new KdlValue(KdlValue.Kind.FLAG, word, Double.NaN, line, column);
+      case "#true", "#false" -> new KdlValue(KdlValue.Kind.BOOLEAN, word, Double.NaN, line, column);
       case "#null" -> new KdlValue(KdlValue.Kind.NULL, word, Double.NaN, line, column);
       case "#inf" -> numeric(word, Double.POSITIVE_INFINITY, line, column);
       case "#-inf" -> numeric(word, Double.NEGATIVE_INFINITY, line, column);
--- a/app/src/main/java/coveladder/kdl/KdlValue.java
+++ b/app/src/main/java/coveladder/kdl/KdlValue.java
@@ -18,13 +18,13 @@
     /** A number, infinities and not-a-number included. */
     NUMBER,
     /** {@code #true} or {@code #false}. */
-    FLAG,
+    BOOLEAN,
     /** {@code #null}. */
     NULL
   }
 
   /** A flag's value. */
-  public boolean flag() {
-    return kind == Kind.FLAG && text.equals("#true");
+  public boolean booleanValue() {
+    return kind == Kind.BOOLEAN && text.equals("#true");
   }
 }
--- a/app/src/test/java/coveladder/kdl/KdlReaderTest.java
+++ b/app/src/test/java/coveladder/kdl/KdlReaderTest.java
@@ -22,7 +22,7 @@
     assertEquals(List.of("b", "c d"), node.arguments().stream().map(KdlValue::text).toList());
     assertEquals(2, node.properties().get("e").number());
     assertEquals(List.of("f", "g"), node.children().stream().map(KdlNode::name).toList());
-    assertTrue(node.children().get(1).arguments().get(0).flag());
+    assertTrue(node.children().get(1).arguments().get(0).booleanValue());
   }
 
   @Test
--- a/isup/src/main/java/coveladder/isup/CallerCodec.java
+++ b/isup/src/main/java/coveladder/isup/CallerCodec.java
@@ -48,7 +48,7 @@
     out.write(0);
     out.write(0);
     out.write(message.type());
-    out.writeBytes(HEX.parseHex(message.call()));
+    out.writeBytes(HEX.parseHex(message.callId()));
     message
         .parameters()
         .forEach(
--- a/isup/src/main/java/coveladder/isup/CallerFramer.java
+++ b/isup/src/main/java/coveladder/isup/CallerFramer.java
@@ -59,7 +59,7 @@
   }
 
   /** Whether a message has begun and is not whole. */
-  public boolean within() {
+  public boolean hasPartialMessage() {
     return head >= 0 || body != null;
   }
 }
--- a/isup/src/main/java/coveladder/isup/CallerMessage.java
+++ b/isup/src/main/java/coveladder/isup/CallerMessage.java
@@ -10,10 +10,10 @@
  * A message between a caller and a call controller: a type, the call's id and parameters.
  *
  * @param type one of the constants here; others are left to the receiver
- * @param call the call's id, 16 hex digits
+ * @param callId the call's id, 16 hex digits
  * @param parameters values by code, in their order
  */
-public record CallerMessage(int type, String call, Map<Integer, byte[]> parameters) {
+public record CallerMessage(int type, String callId, Map<Integer, byte[]> parameters) {
   /** A set-up, with a description. */
   public static final int SET_UP = 1;
 
--- a/isup/src/main/java/coveladder/isup/JournalLine.java
+++ b/isup/src/main/java/coveladder/isup/JournalLine.java
@@ -7,12 +7,12 @@
 /**
  * One line of the journal service: an event, or only the number of the last one.
  *
- * @param pos its number, or the last number
+ * @param position its number, or the last number
  * @param event whether it is an event
- * @param whole whether it holds the whole list
+ * @param snapshot whether it holds the whole list
  * @param entries the lines of the list, or those that changed
  */
-public record JournalLine(long pos, boolean event, boolean whole, List<Entry> entries) {
+public record JournalLine(long position, boolean event, boolean snapshot, List<Entry> entries) {
 
   /**
    * A line of the list of switches.
@@ -20,11 +20,12 @@
    * @param id the switch's id
    * @param host where it listens
    * @param port where it listens
-   * @param number the exchange's number
+   * @param exchangeNumber the exchange's number
    * @param state the platform's word for its state
-   * @param started Unix time of a late start, ms; 0: long ago
+   * @param startedAtMillis Unix time of a late start, ms; 0: long ago
    */
-  public record Entry(String id, String host, int port, int number, String state, double started) {}
+  public record Entry(
+      String id, String host, int port, int exchangeNumber, String state, double startedAtMillis) {}
 
   /**
    * Reads a line: an object, or a bare number.
@@ -34,16 +35,16 @@
   public static JournalLine decode(byte[] line) throws MalformedException {
     String text = new String(line, java.nio.charset.StandardCharsets.UTF_8).trim();
     if (!text.startsWith("{")) {
-      return new JournalLine(whole("pos", text), false, false, List.of());
+      return new JournalLine(parseLong("pos", text), false, false, List.of());
     }
-    return read("", Json.paths(line));
+    return read("", Json.flatten(line));
   }
 
   /** Reads the events of a list that stands in a document at a path. */
-  public static List<JournalLine> known(Map<String, String> paths, String path)
+  public static List<JournalLine> decodeAll(Map<String, String> paths, String path)
       throws MalformedException {
     List<JournalLine> lines = new ArrayList<>();
-    long count = whole(path, paths.getOrDefault(path + ".count", "0"));
+    long count = parseLong(path, paths.getOrDefault(path + ".count", "0"));
     for (int i = 0; i < count; i++) {
       lines.add(read(path + "." + i + ".", paths));
     }
@@ -52,12 +53,12 @@
 
   private static JournalLine read(String path, Map<String, String> values)
       throws MalformedException {
-    long pos = whole(path + "pos", text(values, path + "pos"));
+    long pos = parseLong(path + "pos", text(values, path + "pos"));
     String list = path + "hosts.instances.";
     if (!values.containsKey(list + "count")) {
       return new JournalLine(pos, values.containsKey(path + "hosts.generation"), false, List.of());
     }
-    long count = whole(list, values.get(list + "count"));
+    long count = parseLong(list, values.get(list + "count"));
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       entries.add(entry(list + i + ".", values));
@@ -74,8 +75,8 @@
     return new Entry(
         text(values, path + "instanceId"),
         address.substring(0, colon),
-        (int) whole(path + "hostPort", address.substring(colon + 1)),
-        (int) whole(path + "cell", text(values, path + "cell")),
+        (int) parseLong(path + "hostPort", address.substring(colon + 1)),
+        (int) parseLong(path + "cell", text(values, path + "cell")),
         text(values, path + "lifecycle"),
         number(path + "startedAtMs", started));
   }
@@ -86,7 +87,7 @@
     return value;
   }
 
-  private static long whole(String path, String text) throws MalformedException {
+  private static long parseLong(String path, String text) throws MalformedException {
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
--- a/isup/src/main/java/coveladder/isup/Json.java
+++ b/isup/src/main/java/coveladder/isup/Json.java
@@ -31,7 +31,7 @@
    *
    * @throws MalformedException where it is no JSON object, whole and alone
    */
-  public static Map<String, String> paths(byte[] document) throws MalformedException {
+  public static Map<String, String> flatten(byte[] document) throws MalformedException {
     Map<String, String> values = new LinkedHashMap<>();
     try (JsonParser parser = FACTORY.createParser(document)) {
       MalformedException.expect(parser.nextToken() == JsonToken.START_OBJECT, "no object");
--- a/isup/src/main/java/coveladder/isup/LineFramer.java
+++ b/isup/src/main/java/coveladder/isup/LineFramer.java
@@ -63,7 +63,7 @@
   }
 
   /** Whether a line has begun and is not whole. */
-  public boolean within() {
+  public boolean hasPartialLine() {
     return filled > 0;
   }
 }
--- a/isup/src/test/java/coveladder/isup/CallerCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/CallerCodecTest.java
@@ -43,7 +43,7 @@
       List<byte[]> found = cut(both, at);
       assertEquals(2, found.size(), "cut at " + at);
       CallerMessage read = CallerCodec.decode(found.get(1));
-      assertEquals("9b1f03aa5c7e2d41", read.call());
+      assertEquals("9b1f03aa5c7e2d41", read.callId());
       assertEquals("voice", read.text(CallerMessage.CLASS));
       assertEquals("a\r\nb", read.text(CallerMessage.DESCRIPTION));
     }
--- a/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
@@ -80,10 +80,10 @@
       framer.feed(
           java.util.Arrays.copyOfRange(octets, at, octets.length), l -> lines.add(new String(l)));
       assertEquals(List.of("one", "", "two"), lines);
-      assertTrue(framer.within());
+      assertTrue(framer.hasPartialLine());
     }
     LineFramer framer = new LineFramer(8);
-    assertFalse(framer.within());
+    assertFalse(framer.hasPartialLine());
     assertThrows(MalformedException.class, () -> framer.feed(new byte[9], line -> {}));
   }
 
@@ -95,14 +95,14 @@
                 "{\"pos\":41,\"hosts\":{\"generation\":7,\"reset\":true,\"instances\":[{"
                     + "\"instanceId\":\"s-1\",\"hostPort\":\"10.1.0.9:2905\",\"zone\":null,\"cell\":2,"
                     + "\"lifecycle\":\"in_service\",\"weight\":4,\"startedAtMs\":0}]}}"));
-    assertTrue(event.event() && event.whole());
+    assertTrue(event.event() && event.snapshot());
     assertEquals(
         List.of(new JournalLine.Entry("s-1", "10.1.0.9", 2905, 2, "in_service", 0)),
         event.entries());
     for (String line : new String[] {"41", "{\"pos\":41}"}) {
       JournalLine number = JournalLine.decode(bytes(line));
       assertFalse(number.event());
-      assertEquals(41, number.pos());
+      assertEquals(41, number.position());
     }
     for (String line :
         new String[] {"x", "{}", "{\"pos\":41,\"hosts\":{\"insta", "{\"pos\":\"a\"}"}) {
@@ -113,7 +113,7 @@
   @Test
   void aDocumentIsReadByPaths() throws MalformedException {
     Map<String, String> paths =
-        Json.paths(bytes("{\"a\":{\"b\":[{\"c\":1},{\"c\":true}],\"d\":[1.5,2],\"e\":null}}"));
+        Json.flatten(bytes("{\"a\":{\"b\":[{\"c\":1},{\"c\":true}],\"d\":[1.5,2],\"e\":null}}"));
     assertEquals(
         Map.of(
             "a.b.0.c",
--- a/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
@@ -133,7 +133,7 @@
     switch (message.type()) {
       case CallerMessage.SET_UP -> setUp(link, message, arrived);
       case CallerMessage.RELEASE -> released(link, message);
-      case CallerMessage.RELEASE_HEARD -> releases.heard(link, message.call());
+      case CallerMessage.RELEASE_HEARD -> releases.heard(link, message.callId());
       case CallerMessage.TEST -> test(link, message);
       case CallerMessage.PROGRESS -> {}
       default -> throw new MalformedException("unknown type " + message.type());
@@ -142,12 +142,12 @@
 
   private void test(CallerLink link, CallerMessage message) {
     int passed = !failing && switches.known() ? 1 : 0;
-    link.send(CallerMessage.withCause(CallerMessage.TESTED, message.call(), passed));
+    link.send(CallerMessage.withCause(CallerMessage.TESTED, message.callId(), passed));
     link.nowProper();
   }
 
   private void setUp(CallerLink link, CallerMessage message, double arrived) {
-    String id = message.call();
+    String id = message.callId();
     SetUp setUp;
     try {
       setUp = reader.read(message);
@@ -217,7 +217,7 @@
 
   /** A caller gives a set-up up, on its connection, or ends a call that stands, on any. */
   private void released(CallerLink link, CallerMessage message) {
-    String id = message.call();
+    String id = message.callId();
     link.send(new CallerMessage(CallerMessage.RELEASE_HEARD, id, Map.of()));
     if (link.open().contains(id)) {
       takenBack(id);
--- a/isupfront/src/main/java/coveladder/isupfront/CallerLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerLink.java
@@ -93,7 +93,7 @@
 
   /** Whether a message has begun and is not whole. */
   boolean within() {
-    return framer.within();
+    return framer.hasPartialMessage();
   }
 
   @Override
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -108,7 +108,7 @@
   /** Takes the events of the configuration in, and begins to follow. */
   void start(List<JournalLine> known, long last) {
     for (JournalLine line : known) {
-      pos = line.pos() - 1;
+      pos = line.position() - 1;
       take(line);
     }
     pos = last;
@@ -149,30 +149,30 @@
   }
 
   private void take(JournalLine line) {
-    if (line.pos() <= pos) {
+    if (line.position() <= pos) {
       return;
     }
-    if (!line.event() || line.pos() != pos + 1) {
+    if (!line.event() || line.position() != pos + 1) {
       counters.count("journal events left out");
       if (link != null) {
         askAgain(link, AGAIN_FIRST);
       }
       return;
     }
-    pos = line.pos();
+    pos = line.position();
     List<ExchangeList.Entry> entries = new ArrayList<>();
     for (JournalLine.Entry entry : line.entries()) {
       entries.add(
           new ExchangeList.Entry(
               entry.id(),
-              entry.number(),
+              entry.exchangeNumber(),
               "",
               entry.host() + ":" + entry.port(),
               ReportReader.state(entry.state()),
-              entry.started()));
+              entry.startedAtMillis()));
     }
     controller.listNews(
-        new ExchangeList.News(line.whole(), controller.list().version(), pos, entries));
+        new ExchangeList.News(line.snapshot(), controller.list().version(), pos, entries));
     changed.run();
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
+++ b/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
@@ -68,7 +68,7 @@
    */
   public static PlatformSettings read(byte[] document) {
     try {
-      Map<String, String> paths = Json.paths(document);
+      Map<String, String> paths = Json.flatten(document);
       Fields all = new Fields("configuration", paths);
       Fields settings = new Fields("settings", below(paths, "settings."));
       return new PlatformSettings(
@@ -78,7 +78,7 @@
           all.smallWithin("limits.sockets", 1024, 64, 1 << 20),
           Address.of("journal", all.text("journal")),
           all.whole("known.pos"),
-          JournalLine.known(paths, "known.entries"),
+          JournalLine.decodeAll(paths, "known.entries"),
           classNames(settings),
           settings.within("rules.drainGrace", 0, 0, 1e9),
           SettingsReader.read(settings));
--- a/isupfront/src/main/java/coveladder/isupfront/SetUp.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SetUp.java
@@ -68,7 +68,7 @@
      * @throws MalformedException naming what cannot be used
      */
     SetUp read(CallerMessage message) throws MalformedException {
-      MalformedException.expect(!message.call().equals("0000000000000000"), "no id");
+      MalformedException.expect(!message.callId().equals("0000000000000000"), "no id");
       String name = message.text(CallerMessage.CLASS);
       int type = names.indexOf(name);
       MalformedException.expect(type >= 0, "unknown class");
@@ -80,7 +80,7 @@
       String at = figures.getOrDefault("at", "");
       SetUp setUp =
           new SetUp(
-              message.call(),
+              message.callId(),
               type,
               name,
               left(message.text(CallerMessage.LEFT), kind, !at.isEmpty()),
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchWire.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchWire.java
@@ -89,7 +89,7 @@
     silent = false;
     try {
       framer.feed(octets, this::line);
-      withinSince = framer.within() ? arrived : Double.NaN;
+      withinSince = framer.hasPartialLine() ? arrived : Double.NaN;
     } catch (MalformedException e) {
       link.unreadable(this, e.getMessage());
     }
--- a/isupfront/src/test/java/coveladder/isupfront/Bed.java
+++ b/isupfront/src/test/java/coveladder/isupfront/Bed.java
@@ -143,7 +143,7 @@
       String wait = message.text(CallerMessage.WAIT);
       return message.type()
           + " "
-          + Long.parseLong(message.call(), 16)
+          + Long.parseLong(message.callId(), 16)
           + (message.cause() < 0 ? "" : " cause " + message.cause())
           + (wait.isEmpty() ? "" : " wait " + wait)
           + message.text(CallerMessage.DESCRIPTION);
