--- a/app/src/main/java/coveladder/kdl/KdlException.java
+++ b/app/src/main/java/coveladder/kdl/KdlException.java
@@ -1,6 +1,6 @@
 package coveladder.kdl;
 
-/** A document that is not KDL, or not what its reader expects; with the place of it. */
+/** Thrown for a document that is not valid KDL; gives the position of the error. */
 public final class KdlException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -9,10 +9,10 @@
   private final String reason;
 
   /**
-   * Makes the error.
+   * Creates the exception.
    *
-   * @param line line from 1
-   * @param column column from 1, in code points
+   * @param line line of the error, from 1
+   * @param column column of the error, from 1, in code points
    * @param reason what is wrong and what was expected
    */
   public KdlException(int line, int column, String reason) {
@@ -22,17 +22,17 @@
     this.reason = reason;
   }
 
-  /** Line from 1. */
+  /** Returns the line of the error, from 1. */
   public int line() {
     return line;
   }
 
-  /** Column from 1. */
+  /** Returns the column of the error, from 1, in code points. */
   public int column() {
     return column;
   }
 
-  /** What is wrong, without the place. */
+  /** Returns what is wrong, without the position. */
   public String reason() {
     return reason;
   }
--- a/app/src/main/java/coveladder/kdl/KdlNode.java
+++ b/app/src/main/java/coveladder/kdl/KdlNode.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * A node: a name, arguments, properties, children.
+ * A node of a KDL document: a name with arguments, properties and children.
  *
  * @param name its name
  * @param arguments its arguments in order
- * @param properties its properties; of several with one name the last counts
+ * @param properties its properties; of several with the same name, the last one
  * @param children its children in order
  * @param line line of its name, from 1
  * @param column column of its name, from 1
--- a/app/src/main/java/coveladder/kdl/KdlNumbers.java
+++ b/app/src/main/java/coveladder/kdl/KdlNumbers.java
@@ -1,8 +1,11 @@
 package coveladder.kdl;
 
+import java.math.BigInteger;
 import java.util.regex.Pattern;
 
-/** Numbers of KDL 2: decimal, hexadecimal, octal, binary, with underscores between digits. */
+/**
+ * Parses numbers of KDL 2: decimal, hexadecimal, octal or binary, with underscores between digits.
+ */
 final class KdlNumbers {
   private static final Pattern DECIMAL =
       Pattern.compile("[+-]?[0-9][0-9_]*(\\.[0-9][0-9_]*)?([eE][+-]?[0-9][0-9_]*)?");
@@ -12,27 +15,33 @@
 
   private KdlNumbers() {}
 
-  /** Value of a number; {@code digits} is the word without underscores. */
+  /**
+   * Parses a number.
+   *
+   * @param word the number as written
+   * @param digits the word without underscores
+   * @throws NumberFormatException if the word is not a number
+   */
   static double parse(String word, String digits) {
     if (DECIMAL.matcher(word).matches()) {
       return Double.parseDouble(digits);
     }
     if (HEX.matcher(word).matches()) {
-      return whole(digits, 16);
+      return parseInteger(digits, 16);
     }
     if (OCTAL.matcher(word).matches()) {
-      return whole(digits, 8);
+      return parseInteger(digits, 8);
     }
     if (BINARY.matcher(word).matches()) {
-      return whole(digits, 2);
+      return parseInteger(digits, 2);
     }
     throw new NumberFormatException(word);
   }
 
-  private static double whole(String digits, int base) {
-    boolean minus = digits.startsWith("-");
-    String bare = digits.substring(digits.indexOf('0') + 2);
-    double value = new java.math.BigInteger(bare, base).doubleValue();
-    return minus ? -value : value;
+  private static double parseInteger(String digits, int radix) {
+    boolean negative = digits.startsWith("-");
+    String magnitude = digits.substring(digits.indexOf('0') + 2);
+    double value = new BigInteger(magnitude, radix).doubleValue();
+    return negative ? -value : value;
   }
 }
--- a/app/src/main/java/coveladder/kdl/KdlReader.java
+++ b/app/src/main/java/coveladder/kdl/KdlReader.java
@@ -7,135 +7,143 @@
 
 /**
  * Reads documents in KDL 2 (kdl.dev, specification 2.0.0): nodes, all forms of strings and numbers,
- * comments, slashdash. Type annotations are read and passed over.
+ * comments and slashdash. Type annotations are skipped.
  */
 public final class KdlReader {
-  private static final int DEEPEST = 64;
-  private static final String NO_IDENTIFIER = "\\/(){};[]\"#=";
+  private static final int MAX_NESTING_DEPTH = 64;
+  private static final String NON_IDENTIFIER_CHARACTERS = "\\/(){};[]\"#=";
 
-  private final KdlText in;
+  private final KdlScanner scanner;
   private int depth;
 
   private KdlReader(String text) {
-    in = new KdlText(text);
+    scanner = new KdlScanner(text);
   }
 
-  /** Reads a document. */
+  /**
+   * Reads a document.
+   *
+   * @param text the document; a leading byte order mark is ignored
+   * @return the top-level nodes in order
+   * @throws KdlException if the document is not valid KDL
+   */
   public static List<KdlNode> read(String text) throws KdlException {
     KdlReader reader = new KdlReader(text.startsWith("\uFEFF") ? text.substring(1) : text);
-    List<KdlNode> nodes = reader.nodes();
-    if (!reader.in.end()) {
-      throw reader.in.error("found '}' without its '{'");
+    List<KdlNode> nodes = reader.readNodes();
+    if (!reader.scanner.atEnd()) {
+      throw reader.scanner.error("found '}' without a matching '{'");
     }
     return nodes;
   }
 
-  private List<KdlNode> nodes() throws KdlException {
+  private List<KdlNode> readNodes() throws KdlException {
     List<KdlNode> nodes = new ArrayList<>();
     while (true) {
-      between();
-      if (in.end() || in.peek() == '}') {
+      skipNodeSeparators();
+      if (scanner.atEnd() || scanner.peek() == '}') {
         return nodes;
       }
-      boolean dropped = slashdash();
-      KdlNode node = node();
-      if (!dropped) {
+      boolean commentedOut = skipSlashdash();
+      KdlNode node = readNode();
+      if (!commentedOut) {
         nodes.add(node);
       }
     }
   }
 
-  /** Passes over what may stand between nodes. */
-  private void between() throws KdlException {
-    while (!in.end()) {
-      if (KdlText.newline(in.peek()) || in.peek() == ';') {
-        in.next();
-      } else if (!blank()) {
+  /** Skips blanks, line ends, comments and semicolons between nodes. */
+  private void skipNodeSeparators() throws KdlException {
+    while (!scanner.atEnd()) {
+      if (KdlScanner.isNewline(scanner.peek()) || scanner.peek() == ';') {
+        scanner.next();
+      } else if (!skipBlank()) {
         return;
       }
     }
   }
 
-  /** Passes over one blank, comment or continued line end; whether there was one. */
-  private boolean blank() throws KdlException {
-    if (in.end()) {
+  /** Skips one space, comment or line continuation, and returns whether there was one. */
+  private boolean skipBlank() throws KdlException {
+    if (scanner.atEnd()) {
       return false;
     }
-    if (KdlText.space(in.peek())) {
-      in.next();
+    if (KdlScanner.isSpace(scanner.peek())) {
+      scanner.next();
       return true;
     }
-    if (in.starts("//")) {
-      in.skipLine();
+    if (scanner.startsWith("//")) {
+      scanner.skipLine();
       return true;
     }
-    if (in.starts("/*")) {
-      comment();
+    if (scanner.startsWith("/*")) {
+      skipBlockComment();
       return true;
     }
-    if (in.peek() == '\\') {
-      continuation();
+    if (scanner.peek() == '\\') {
+      skipLineContinuation();
       return true;
     }
     return false;
   }
 
-  private void comment() throws KdlException {
-    int line = in.line();
-    int column = in.column();
-    int open = 0;
+  private void skipBlockComment() throws KdlException {
+    int line = scanner.line();
+    int column = scanner.column();
+    int nestingLevel = 0;
     do {
-      if (in.end()) {
-        throw new KdlException(line, column, "comment without its '*/'");
+      if (scanner.atEnd()) {
+        throw new KdlException(line, column, "comment without a closing '*/'");
       }
-      if (in.starts("/*")) {
-        open++;
-        in.skip(2);
-      } else if (in.starts("*/")) {
-        open--;
-        in.skip(2);
+      if (scanner.startsWith("/*")) {
+        nestingLevel++;
+        scanner.skip(2);
+      } else if (scanner.startsWith("*/")) {
+        nestingLevel--;
+        scanner.skip(2);
       } else {
-        in.next();
+        scanner.next();
       }
-    } while (open > 0);
+    } while (nestingLevel > 0);
   }
 
-  private void continuation() throws KdlException {
-    in.next();
-    while (!in.end() && (KdlText.space(in.peek()) || in.starts("/*"))) {
-      if (in.starts("/*")) {
-        comment();
+  private void skipLineContinuation() throws KdlException {
+    scanner.next();
+    while (!scanner.atEnd() && (KdlScanner.isSpace(scanner.peek()) || scanner.startsWith("/*"))) {
+      if (scanner.startsWith("/*")) {
+        skipBlockComment();
       } else {
-        in.next();
+        scanner.next();
       }
     }
-    if (in.starts("//")) {
-      in.skipLine();
+    if (scanner.startsWith("//")) {
+      scanner.skipLine();
     }
-    if (!in.end()) {
-      if (!KdlText.newline(in.peek())) {
-        throw in.error("expected the end of the line behind '\\'");
+    if (!scanner.atEnd()) {
+      if (!KdlScanner.isNewline(scanner.peek())) {
+        throw scanner.error("expected the end of the line after '\\'");
       }
-      in.next();
+      scanner.next();
     }
   }
 
-  private boolean blanks() throws KdlException {
-    boolean any = false;
-    while (blank()) {
-      any = true;
+  /** Skips blanks and returns whether there were any. */
+  private boolean skipBlanks() throws KdlException {
+    boolean skippedAny = false;
+    while (skipBlank()) {
+      skippedAny = true;
     }
-    return any;
+    return skippedAny;
   }
 
-  private boolean slashdash() throws KdlException {
-    if (!in.starts("/-")) {
+  /** Skips a slashdash, which comments out the next element, and returns whether there was one. */
+  private boolean skipSlashdash() throws KdlException {
+    if (!scanner.startsWith("/-")) {
       return false;
     }
-    in.skip(2);
-    while (blank() || !in.end() && KdlText.newline(in.peek())) {
-      if (!in.end() && KdlText.newline(in.peek())) {
-        in.next();
+    scanner.skip(2);
+    while (skipBlank() || !scanner.atEnd() && KdlScanner.isNewline(scanner.peek())) {
+      if (!scanner.atEnd() && KdlScanner.isNewline(scanner.peek())) {
+        scanner.next();
       }
     }
     return true;
@@ -143,169 +151,177 @@
 
   // ---- Nodes --------------------------------------------------------------------------------
 
-  private KdlNode node() throws KdlException {
-    annotation();
-    int line = in.line();
-    int column = in.column();
-    String name = string("a node's name");
+  private KdlNode readNode() throws KdlException {
+    skipTypeAnnotation();
+    int line = scanner.line();
+    int column = scanner.column();
+    String name = readString("a node's name");
     List<KdlValue> arguments = new ArrayList<>();
     Map<String, KdlValue> properties = new LinkedHashMap<>();
     List<KdlNode> children = List.of();
-    boolean closed = false;
-    boolean spaced = blanks();
-    while (!atEnd()) {
-      boolean dropped = slashdash();
-      if (in.peek() == '{') {
-        List<KdlNode> block = children();
-        children = dropped ? children : block;
-        closed |= !dropped;
-      } else if (closed || !spaced && !dropped) {
-        throw in.error("expected a blank or the end of the node");
+    boolean childrenRead = false;
+    boolean blankBefore = skipBlanks();
+    while (!atNodeEnd()) {
+      boolean commentedOut = skipSlashdash();
+      if (scanner.peek() == '{') {
+        List<KdlNode> block = readChildren();
+        children = commentedOut ? children : block;
+        childrenRead |= !commentedOut;
+      } else if (childrenRead || !blankBefore && !commentedOut) {
+        throw scanner.error("expected a blank or the end of the node");
       } else {
-        entry(dropped ? new ArrayList<>() : arguments, dropped ? null : properties);
+        readEntry(commentedOut ? new ArrayList<>() : arguments, commentedOut ? null : properties);
       }
-      spaced = blanks();
+      blankBefore = skipBlanks();
     }
     return new KdlNode(name, arguments, properties, children, line, column);
   }
 
-  private boolean atEnd() {
-    return in.end() || in.peek() == ';' || in.peek() == '}' || KdlText.newline(in.peek());
+  private boolean atNodeEnd() {
+    return scanner.atEnd()
+        || scanner.peek() == ';'
+        || scanner.peek() == '}'
+        || KdlScanner.isNewline(scanner.peek());
   }
 
-  private List<KdlNode> children() throws KdlException {
-    int line = in.line();
-    int column = in.column();
-    if (++depth > DEEPEST) {
-      throw in.error("nested more than " + DEEPEST + " deep");
+  private List<KdlNode> readChildren() throws KdlException {
+    int line = scanner.line();
+    int column = scanner.column();
+    if (++depth > MAX_NESTING_DEPTH) {
+      throw scanner.error("nested more than " + MAX_NESTING_DEPTH + " levels deep");
     }
-    in.next();
-    List<KdlNode> nodes = nodes();
-    if (in.end()) {
-      throw new KdlException(line, column, "'{' without its '}'");
+    scanner.next();
+    List<KdlNode> nodes = readNodes();
+    if (scanner.atEnd()) {
+      throw new KdlException(line, column, "'{' without a matching '}'");
     }
-    in.next();
+    scanner.next();
     depth--;
     return nodes;
   }
 
-  private void entry(List<KdlValue> arguments, Map<String, KdlValue> properties)
+  private void readEntry(List<KdlValue> arguments, Map<String, KdlValue> properties)
       throws KdlException {
-    KdlValue value = value();
-    boolean named = value.kind() == KdlValue.Kind.STRING && !in.end() && in.peek() == '=';
-    if (!named) {
-      arguments.add(value);
+    KdlValue argumentOrName = readValue();
+    boolean isProperty =
+        argumentOrName.kind() == KdlValue.Kind.STRING && !scanner.atEnd() && scanner.peek() == '=';
+    if (!isProperty) {
+      arguments.add(argumentOrName);
       return;
     }
-    in.next();
-    KdlValue given = value();
+    scanner.next();
+    KdlValue propertyValue = readValue();
     if (properties != null) {
-      properties.remove(value.text());
-      properties.put(value.text(), given);
+      properties.remove(argumentOrName.text());
+      properties.put(argumentOrName.text(), propertyValue);
     }
   }
 
-  private void annotation() throws KdlException {
-    if (!in.end() && in.peek() == '(') {
-      in.next();
-      blanks();
-      string("a type");
-      blanks();
-      if (in.end() || in.peek() != ')') {
-        throw in.error("expected ')' behind a type");
+  private void skipTypeAnnotation() throws KdlException {
+    if (!scanner.atEnd() && scanner.peek() == '(') {
+      scanner.next();
+      skipBlanks();
+      readString("a type");
+      skipBlanks();
+      if (scanner.atEnd() || scanner.peek() != ')') {
+        throw scanner.error("expected ')' after a type");
       }
-      in.next();
-      blanks();
+      scanner.next();
+      skipBlanks();
     }
   }
 
   // ---- Values -------------------------------------------------------------------------------
 
-  private KdlValue value() throws KdlException {
-    annotation();
-    int line = in.line();
-    int column = in.column();
-    if (in.end()) {
-      throw in.error("expected a value");
+  private KdlValue readValue() throws KdlException {
+    skipTypeAnnotation();
+    int line = scanner.line();
+    int column = scanner.column();
+    if (scanner.atEnd()) {
+      throw scanner.error("expected a value");
     }
-    if (in.peek() == '#' && !in.startsRaw()) {
-      return keyword(line, column);
+    if (scanner.peek() == '#' && !scanner.startsRawString()) {
+      return readKeyword(line, column);
     }
-    if (in.startsNumber()) {
-      return number(line, column);
+    if (scanner.startsNumber()) {
+      return readNumber(line, column);
     }
-    return new KdlValue(KdlValue.Kind.STRING, string("a value"), Double.NaN, line, column);
+    return new KdlValue(KdlValue.Kind.STRING, readString("a value"), Double.NaN, line, column);
   }
 
-  private KdlValue keyword(int line, int column) throws KdlException {
-    in.next();
-    String word = "#" + word();
+  private KdlValue readKeyword(int line, int column) throws KdlException {
+    scanner.next();
+    String word = "#" + readWord();
     return switch (word) {
       case "#true", "#false" -> new KdlValue(KdlValue.Kind.BOOLEAN, word, Double.NaN, line, column);
       case "#null" -> new KdlValue(KdlValue.Kind.NULL, word, Double.NaN, line, column);
-      case "#inf" -> numeric(word, Double.POSITIVE_INFINITY, line, column);
-      case "#-inf" -> numeric(word, Double.NEGATIVE_INFINITY, line, column);
-      case "#nan" -> numeric(word, Double.NaN, line, column);
+      case "#inf" -> numberValue(word, Double.POSITIVE_INFINITY, line, column);
+      case "#-inf" -> numberValue(word, Double.NEGATIVE_INFINITY, line, column);
+      case "#nan" -> numberValue(word, Double.NaN, line, column);
       default ->
           throw new KdlException(
               line, column, word + " is none of #true, #false, #null, #inf, #-inf, #nan");
     };
   }
 
-  private static KdlValue numeric(String text, double value, int line, int column) {
+  private static KdlValue numberValue(String text, double value, int line, int column) {
     return new KdlValue(KdlValue.Kind.NUMBER, text, value, line, column);
   }
 
-  private KdlValue number(int line, int column) throws KdlException {
-    String word = word();
+  private KdlValue readNumber(int line, int column) throws KdlException {
+    String word = readWord();
     String digits = word.replace("_", "");
     try {
-      return numeric(word, KdlNumbers.parse(word, digits), line, column);
+      return numberValue(word, KdlNumbers.parse(word, digits), line, column);
     } catch (NumberFormatException e) {
-      throw new KdlException(line, column, word + " is no number; put quotes around a string");
+      throw new KdlException(
+          line, column, word + " is not a number; a string that begins like one needs quotes");
     }
   }
 
-  private String word() {
+  private String readWord() {
     StringBuilder out = new StringBuilder();
-    while (!in.end() && identifierPart(in.peek())) {
-      out.appendCodePoint(in.next());
+    while (!scanner.atEnd() && isIdentifierPart(scanner.peek())) {
+      out.appendCodePoint(scanner.next());
     }
     return out.toString();
   }
 
-  private static boolean identifierPart(int c) {
-    return NO_IDENTIFIER.indexOf(c) < 0
-        && !KdlText.space(c)
-        && !KdlText.newline(c)
-        && c > ' '
-        && c != 0x7f;
+  private static boolean isIdentifierPart(int codePoint) {
+    return NON_IDENTIFIER_CHARACTERS.indexOf(codePoint) < 0
+        && !KdlScanner.isSpace(codePoint)
+        && !KdlScanner.isNewline(codePoint)
+        && codePoint > ' '
+        && codePoint != 0x7f;
   }
 
-  private String string(String what) throws KdlException {
-    if (in.end()) {
-      throw in.error("expected " + what);
+  private String readString(String expected) throws KdlException {
+    if (scanner.atEnd()) {
+      throw scanner.error("expected " + expected);
     }
-    if (in.peek() == '"' || in.startsRaw()) {
-      return KdlStrings.read(in);
+    if (scanner.peek() == '"' || scanner.startsRawString()) {
+      return KdlStrings.read(scanner);
     }
-    int line = in.line();
-    int column = in.column();
-    boolean digit = in.startsNumber();
-    String word = word();
-    if (word.isEmpty() || digit) {
-      throw new KdlException(line, column, "expected " + what + ", found " + found(word));
+    int line = scanner.line();
+    int column = scanner.column();
+    boolean numberLike = scanner.startsNumber();
+    String word = readWord();
+    if (word.isEmpty() || numberLike) {
+      throw new KdlException(
+          line, column, "expected " + expected + ", found " + describeFound(word));
     }
     if (word.matches("true|false|null|inf|-inf|nan")) {
-      throw new KdlException(line, column, word + " is written #" + word);
+      throw new KdlException(line, column, word + " must be written #" + word);
     }
     return word;
   }
 
-  private String found(String word) {
+  private String describeFound(String word) {
     if (!word.isEmpty()) {
       return word;
     }
-    return in.end() ? "the end" : "'" + Character.toString(in.peek()) + "'";
+    return scanner.atEnd()
+        ? "the end of the document"
+        : "'" + Character.toString(scanner.peek()) + "'";
   }
 }
--- a/app/src/main/java/coveladder/kdl/KdlStrings.java
+++ b/app/src/main/java/coveladder/kdl/KdlStrings.java
@@ -3,101 +3,109 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Quoted strings of KDL 2: escaped and raw, on one line and on many. */
+/** Reads quoted strings of KDL 2: escaped and raw, single-line and multi-line. */
 final class KdlStrings {
   private KdlStrings() {}
 
-  static String read(KdlText in) throws KdlException {
-    int line = in.line();
-    int column = in.column();
+  static String read(KdlScanner scanner) throws KdlException {
+    int line = scanner.line();
+    int column = scanner.column();
     int hashes = 0;
-    while (in.peek() == '#') {
+    while (scanner.peek() == '#') {
       hashes++;
-      in.next();
+      scanner.next();
     }
-    boolean many = in.starts("\"\"\"");
-    in.skip(many ? 3 : 1);
-    String end = (many ? "\"\"\"" : "\"") + "#".repeat(hashes);
-    String raw = until(in, end, hashes > 0, many, line, column);
-    String text = many ? unindented(raw, line, column) : raw;
-    return hashes > 0 ? text : unescaped(text, line, column);
+    boolean multiline = scanner.startsWith("\"\"\"");
+    scanner.skip(multiline ? 3 : 1);
+    String terminator = (multiline ? "\"\"\"" : "\"") + "#".repeat(hashes);
+    String raw = readUntil(scanner, terminator, hashes > 0, multiline, line, column);
+    String text = multiline ? removeIndent(raw, line, column) : raw;
+    return hashes > 0 ? text : unescape(text, line, column);
   }
 
-  private static String until(
-      KdlText in, String end, boolean raw, boolean many, int line, int column) throws KdlException {
+  private static String readUntil(
+      KdlScanner scanner, String terminator, boolean raw, boolean multiline, int line, int column)
+      throws KdlException {
     StringBuilder out = new StringBuilder();
-    while (!in.end() && !in.starts(end)) {
-      if (!many && KdlText.newline(in.peek()) && !continued(out)) {
-        throw in.error("a string of one line must end on it");
+    while (!scanner.atEnd() && !scanner.startsWith(terminator)) {
+      if (!multiline && KdlScanner.isNewline(scanner.peek()) && !endsInEscapedWhitespace(out)) {
+        throw scanner.error("a single-line string must end on the line where it begins");
       }
-      int c = in.next();
-      out.appendCodePoint(c);
-      if (!raw && c == '\\' && !in.end()) {
-        out.appendCodePoint(in.next());
+      int codePoint = scanner.next();
+      out.appendCodePoint(codePoint);
+      if (!raw && codePoint == '\\' && !scanner.atEnd()) {
+        out.appendCodePoint(scanner.next());
       }
     }
-    if (in.end()) {
-      throw new KdlException(line, column, "string without its " + end);
+    if (scanner.atEnd()) {
+      throw new KdlException(line, column, "string without its " + terminator);
     }
-    in.skip(end.length());
+    scanner.skip(terminator.length());
     return out.toString();
   }
 
-  /** Whether an escaped blank stands before, which may run over line ends. */
-  private static boolean continued(StringBuilder out) {
-    int at = out.length() - 1;
-    while (at >= 0 && (KdlText.space(out.charAt(at)) || KdlText.newline(out.charAt(at)))) {
-      at--;
+  /**
+   * Whether the text ends in whitespace after a backslash, an escape that may include line ends.
+   */
+  private static boolean endsInEscapedWhitespace(StringBuilder out) {
+    int index = out.length() - 1;
+    while (index >= 0
+        && (KdlScanner.isSpace(out.charAt(index)) || KdlScanner.isNewline(out.charAt(index)))) {
+      index--;
     }
-    return at >= 0 && at < out.length() - 1 && out.charAt(at) == '\\';
+    return index >= 0 && index < out.length() - 1 && out.charAt(index) == '\\';
   }
 
-  /** Takes the indent of the last line off all lines. */
-  private static String unindented(String raw, int line, int column) throws KdlException {
+  /** Removes the indent of the last line, which holds the closing quotes, from all lines. */
+  private static String removeIndent(String raw, int line, int column) throws KdlException {
     List<String> lines = new ArrayList<>(List.of(raw.split("\n", -1)));
     if (lines.size() < 2 || !lines.get(0).isBlank()) {
-      throw new KdlException(line, column, "a string of many lines begins on the next line");
+      throw new KdlException(
+          line, column, "a multi-line string must begin on the line after its opening quotes");
     }
     String indent = lines.get(lines.size() - 1);
     if (!indent.isBlank()) {
-      throw new KdlException(line, column, "its closing quotes must stand on a line of their own");
+      throw new KdlException(
+          line, column, "the closing quotes of a multi-line string need a line of their own");
     }
-    List<String> kept = new ArrayList<>();
-    for (String one : lines.subList(1, lines.size() - 1)) {
-      if (!one.isBlank() && !one.startsWith(indent)) {
-        throw new KdlException(line, column, "each line needs the indent of the closing quotes");
+    List<String> unindented = new ArrayList<>();
+    for (String content : lines.subList(1, lines.size() - 1)) {
+      if (!content.isBlank() && !content.startsWith(indent)) {
+        throw new KdlException(
+            line, column, "each line of the string needs the indent of its closing quotes");
       }
-      kept.add(one.isBlank() ? "" : one.substring(indent.length()));
+      unindented.add(content.isBlank() ? "" : content.substring(indent.length()));
     }
-    return String.join("\n", kept);
+    return String.join("\n", unindented);
   }
 
-  private static String unescaped(String text, int line, int column) throws KdlException {
+  private static String unescape(String text, int line, int column) throws KdlException {
     StringBuilder out = new StringBuilder();
-    int at = 0;
-    while (at < text.length()) {
-      char c = text.charAt(at++);
+    int index = 0;
+    while (index < text.length()) {
+      char c = text.charAt(index++);
       if (c != '\\') {
         out.append(c);
-      } else if (at < text.length() && text.charAt(at) == 'u') {
-        at = unicode(text, at + 1, out, line, column);
-      } else if (at < text.length() && blank(text.charAt(at))) {
-        while (at < text.length() && blank(text.charAt(at))) {
-          at++;
+      } else if (index < text.length() && text.charAt(index) == 'u') {
+        index = appendUnicodeEscape(text, index + 1, out, line, column);
+      } else if (index < text.length() && isWhitespace(text.charAt(index))) {
+        while (index < text.length() && isWhitespace(text.charAt(index))) {
+          index++;
         }
       } else {
-        out.append(plain(at < text.length() ? text.charAt(at) : ' ', line, column));
-        at++;
+        out.append(
+            unescapeCharacter(index < text.length() ? text.charAt(index) : ' ', line, column));
+        index++;
       }
     }
     return out.toString();
   }
 
-  private static boolean blank(char c) {
-    return KdlText.space(c) || KdlText.newline(c);
+  private static boolean isWhitespace(char c) {
+    return KdlScanner.isSpace(c) || KdlScanner.isNewline(c);
   }
 
-  private static char plain(char c, int line, int column) throws KdlException {
+  private static char unescapeCharacter(char c, int line, int column) throws KdlException {
     return switch (c) {
       case 'n' -> '\n';
       case 'r' -> '\r';
@@ -111,19 +119,20 @@
     };
   }
 
-  private static int unicode(String text, int at, StringBuilder out, int line, int column)
-      throws KdlException {
-    int close = text.indexOf('}', at);
-    boolean formed = at < text.length() && text.charAt(at) == '{' && close > at + 1;
-    String digits = formed ? text.substring(at + 1, close) : "";
+  /** Appends the character of a Unicode escape and returns the index after the escape. */
+  private static int appendUnicodeEscape(
+      String text, int start, StringBuilder out, int line, int column) throws KdlException {
+    int closingBrace = text.indexOf('}', start);
+    boolean braced = start < text.length() && text.charAt(start) == '{' && closingBrace > start + 1;
+    String digits = braced ? text.substring(start + 1, closingBrace) : "";
     if (!digits.matches("[0-9a-fA-F]{1,6}")) {
       throw new KdlException(line, column, "expected \\u{1 to 6 hexadecimal digits}");
     }
-    int point = Integer.parseInt(digits, 16);
-    if (point > 0x10ffff || point >= 0xd800 && point <= 0xdfff) {
-      throw new KdlException(line, column, "\\u{" + digits + "} is no character");
+    int codePoint = Integer.parseInt(digits, 16);
+    if (codePoint > 0x10ffff || codePoint >= 0xd800 && codePoint <= 0xdfff) {
+      throw new KdlException(line, column, "\\u{" + digits + "} is not a Unicode character");
     }
-    out.appendCodePoint(point);
-    return close + 1;
+    out.appendCodePoint(codePoint);
+    return closingBrace + 1;
   }
 }
--- a/app/src/main/java/coveladder/kdl/KdlValue.java
+++ b/app/src/main/java/coveladder/kdl/KdlValue.java
@@ -1,17 +1,17 @@
 package coveladder.kdl;
 
 /**
- * A value with its place.
+ * An argument or the value of a property, with its position.
  *
- * @param kind what it is
- * @param text a string's text, or a number as written
- * @param number a number's value; NaN for what is none
- * @param line line from 1
- * @param column column from 1
+ * @param kind the type of the value
+ * @param text text of a string; any other value as written
+ * @param number value of a number; NaN for any other value
+ * @param line line of the value, from 1
+ * @param column column of the value, from 1, in code points
  */
 public record KdlValue(Kind kind, String text, double number, int line, int column) {
 
-  /** Kinds of values. */
+  /** Types of values. */
   public enum Kind {
     /** Any form of string. */
     STRING,
@@ -23,7 +23,7 @@
     NULL
   }
 
-  /** A flag's value. */
+  /** Whether this is {@code #true}. */
   public boolean booleanValue() {
     return kind == Kind.BOOLEAN && text.equals("#true");
   }
--- a/app/src/test/java/coveladder/kdl/KdlReaderTest.java
+++ b/app/src/test/java/coveladder/kdl/KdlReaderTest.java
@@ -1,5 +1,6 @@
 package coveladder.kdl;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,15 +11,15 @@
 
 class KdlReaderTest {
 
-  private static KdlNode one(String text) throws KdlException {
+  private static KdlNode readSingleNode(String text) throws KdlException {
     List<KdlNode> nodes = KdlReader.read(text);
     assertEquals(1, nodes.size());
     return nodes.get(0);
   }
 
   @Test
-  void argumentsPropertiesAndChildren() throws KdlException {
-    KdlNode node = one("a b \"c d\" e=1 e=2 {\n f; g #true\n}");
+  void readsArgumentsPropertiesAndChildren() throws KdlException {
+    KdlNode node = readSingleNode("a b \"c d\" e=1 e=2 {\n f; g #true\n}");
     assertEquals(List.of("b", "c d"), node.arguments().stream().map(KdlValue::text).toList());
     assertEquals(2, node.properties().get("e").number());
     assertEquals(List.of("f", "g"), node.children().stream().map(KdlNode::name).toList());
@@ -26,31 +27,32 @@
   }
 
   @Test
-  void numbersOfAllForms() throws KdlException {
-    KdlNode node = one("n 1_000 -2.5e+3 0xFf 0o17 -0b101 #inf #-inf #nan");
-    double[] found = node.arguments().stream().mapToDouble(KdlValue::number).toArray();
-    double[] meant = {
+  void readsNumbersOfAllForms() throws KdlException {
+    KdlNode node = readSingleNode("n 1_000 -2.5e+3 0xFf 0o17 -0b101 #inf #-inf #nan");
+    double[] actual = node.arguments().stream().mapToDouble(KdlValue::number).toArray();
+    double[] expected = {
       1000, -2500, 255, 15, -5, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, Double.NaN
     };
-    org.junit.jupiter.api.Assertions.assertArrayEquals(meant, found);
+    assertArrayEquals(expected, actual);
   }
 
   @Test
-  void stringsOfAllForms() throws KdlException {
-    assertEquals("a\"\n\u00e9\\", text("\"a\\\"\\n\\u{e9}\\\\\""));
-    assertEquals("a\\n\"b", text("#\"a\\n\"b\"#"));
+  void readsStringsOfAllForms() throws KdlException {
+    assertEquals("a\"\n\u00e9\\", readSingleString("\"a\\\"\\n\\u{e9}\\\\\""));
+    assertEquals("a\\n\"b", readSingleString("#\"a\\n\"b\"#"));
     assertEquals(
-        "one\n  two\n\nthree", text("\"\"\"\n    one\n      two\n\n    three\n    \"\"\""));
-    assertEquals("ab", text("\"a\\   \n   b\""));
-    assertEquals("raw \\s", text("##\"\"\"\n  raw \\s\n  \"\"\"##"));
+        "one\n  two\n\nthree",
+        readSingleString("\"\"\"\n    one\n      two\n\n    three\n    \"\"\""));
+    assertEquals("ab", readSingleString("\"a\\   \n   b\""));
+    assertEquals("raw \\s", readSingleString("##\"\"\"\n  raw \\s\n  \"\"\"##"));
   }
 
-  private static String text(String written) throws KdlException {
-    return one("n " + written).arguments().get(0).text();
+  private static String readSingleString(String literal) throws KdlException {
+    return readSingleNode("n " + literal).arguments().get(0).text();
   }
 
   @Test
-  void commentsAndSlashdash() throws KdlException {
+  void skipsCommentsAndSlashdash() throws KdlException {
     String text =
         "// line\n/* a /* nested */ one */ a /-b c /-d=1 e=2 /-{ x } { y } // end\n/-gone { z }\n"
             + "b \\ // goes on\n  c\n";
@@ -63,36 +65,37 @@
   }
 
   @Test
-  void errorsNameLineAndColumn() {
+  void errorsHaveLineAndColumn() {
     assertError(2, 3, "expected a value", "a\nb c=");
     assertError(1, 3, "without its", "a \"open");
     assertError(2, 1, "'}' without", "a\n}");
     assertError(1, 3, "'{' without", "a { b");
-    assertError(1, 3, "written #true", "a true");
-    assertError(1, 3, "no number", "a 1.2.3");
+    assertError(1, 3, "must be written #true", "a true");
+    assertError(1, 3, "is not a number", "a 1.2.3");
     assertError(1, 3, "unknown escape", "a \"\\q\"");
     assertError(1, 3, "none of #true", "a #yes");
     assertError(1, 1, "comment without", "/* x");
     assertError(1, 6, "expected a blank", "a \"b\"\"c\"");
-    assertError(1, 5, "must end on it", "a \"b\nc\"");
+    assertError(1, 5, "must end on the line", "a \"b\nc\"");
   }
 
-  private static void assertError(int line, int column, String what, String text) {
+  private static void assertError(int line, int column, String expectedReason, String text) {
     KdlException e = assertThrows(KdlException.class, () -> KdlReader.read(text));
-    assertTrue(e.getMessage().contains(what), e.getMessage());
-    boolean placed = e.line() == line && (e.column() == column || what.equals("expected a value"));
-    assertTrue(placed, e.getMessage());
+    assertTrue(e.getMessage().contains(expectedReason), e.getMessage());
+    boolean positionMatches =
+        e.line() == line && (e.column() == column || expectedReason.equals("expected a value"));
+    assertTrue(positionMatches, e.getMessage());
   }
 
   @Test
-  void noTextMakesItThrowAnythingElseOrLoop() {
+  void randomTextIsReadOrThrowsKdlExceptionWithoutLooping() {
     SplittableRandom random = new SplittableRandom(2);
-    String signs = "ab1.-_#\"\\/{}();=\n\r\t *u\u00e9";
+    String alphabet = "ab1.-_#\"\\/{}();=\n\r\t *u\u00e9";
     for (int round = 0; round < 20_000; round++) {
       StringBuilder text = new StringBuilder();
       int length = random.nextInt(30);
       for (int i = 0; i < length; i++) {
-        text.append(signs.charAt(random.nextInt(signs.length())));
+        text.append(alphabet.charAt(random.nextInt(alphabet.length())));
       }
       try {
         KdlReader.read(text.toString());
--- a/isup/src/main/java/coveladder/isup/CallerFramer.java
+++ b/isup/src/main/java/coveladder/isup/CallerFramer.java
@@ -2,64 +2,71 @@
 
 import java.util.function.Consumer;
 
-/** Cuts a caller's octets into messages, however they arrive. Holds one message at most. */
+/**
+ * Splits a caller's octet stream into messages, however the octets are distributed over reads. It
+ * buffers at most one message.
+ */
 public final class CallerFramer {
-  private final int most;
-  private int head = -1;
+  private final int maxMessageBytes;
+
+  /** First octet of a length field that is half read; -1 if there is none. */
+  private int firstLengthOctet = -1;
+
   private byte[] body;
   private int filled;
 
   /**
-   * Makes a framer.
+   * Creates a framer.
    *
-   * @param most most octets of a message, its length included
+   * @param maxMessageBytes greatest size of a message, its length field included, octets
    */
-  public CallerFramer(int most) {
-    this.most = most;
+  public CallerFramer(int maxMessageBytes) {
+    this.maxMessageBytes = maxMessageBytes;
   }
 
   /**
-   * Takes octets in and hands on what is whole. After an error the stream is of no further use.
+   * Reads octets and passes each complete message, without its length field, to the receiver. After
+   * an error the stream cannot be framed any further.
    *
-   * @throws MalformedException where a length is too short or too long for any message
+   * @throws MalformedException if a length is too short or too long for any message
    */
-  public void feed(byte[] octets, Consumer<byte[]> messages) throws MalformedException {
-    int at = 0;
-    while (at < octets.length) {
-      at = body == null ? length(octets, at) : fill(octets, at);
+  public void feed(byte[] octets, Consumer<byte[]> receiver) throws MalformedException {
+    int offset = 0;
+    while (offset < octets.length) {
+      offset = body == null ? readLengthOctet(octets, offset) : readBody(octets, offset);
       if (body != null && filled == body.length) {
-        byte[] whole = body;
+        byte[] message = body;
         body = null;
-        messages.accept(whole);
+        receiver.accept(message);
       }
     }
   }
 
-  private int length(byte[] octets, int at) throws MalformedException {
-    int octet = octets[at] & 0xff;
-    if (head < 0) {
-      head = octet;
-      return at + 1;
+  private int readLengthOctet(byte[] octets, int offset) throws MalformedException {
+    int octet = octets[offset] & 0xff;
+    if (firstLengthOctet < 0) {
+      firstLengthOctet = octet;
+      return offset + 1;
     }
-    int length = head << 8 | octet;
-    head = -1;
-    if (length < 9 || length + 2 > most) {
-      throw new MalformedException("length " + length + ", expected 9 to " + (most - 2));
+    int length = firstLengthOctet << 8 | octet;
+    firstLengthOctet = -1;
+    if (length < 9 || length + 2 > maxMessageBytes) {
+      throw new MalformedException("length " + length + ", expected 9 to " + (maxMessageBytes - 2));
     }
     body = new byte[length];
     filled = 0;
-    return at + 1;
+    return offset + 1;
   }
 
-  private int fill(byte[] octets, int at) {
-    int count = Math.min(octets.length - at, body.length - filled);
-    System.arraycopy(octets, at, body, filled, count);
+  private int readBody(byte[] octets, int offset) {
+    int count = Math.min(octets.length - offset, body.length - filled);
+    System.arraycopy(octets, offset, body, filled, count);
     filled += count;
-    return at + count;
+    return offset + count;
   }
 
-  /** Whether a message has begun and is not whole. */
+  /** Whether a message has begun and is not complete. */
   public boolean hasPartialMessage() {
-    return head >= 0 || body != null;
+    return firstLengthOctet >= 0 || body != null;
   }
 }
--- a/isup/src/main/java/coveladder/isup/CallerMessage.java
+++ b/isup/src/main/java/coveladder/isup/CallerMessage.java
@@ -9,48 +9,48 @@
 /**
  * A message between a caller and a call controller: a type, the call's id and parameters.
  *
- * @param type one of the constants here; others are left to the receiver
+ * @param type one of the constants here; unknown types are left to the receiver
  * @param callId the call's id, 16 hex digits
- * @param parameters values by code, in their order
+ * @param parameters values by code, in the order in which they were sent
  */
 public record CallerMessage(int type, String callId, Map<Integer, byte[]> parameters) {
-  /** A set-up, with a description. */
+  /** Set-up of a call, with a description. */
   public static final int SET_UP = 1;
 
-  /** Progress; means nothing. */
+  /** Progress of a set-up; carries no information. */
   public static final int PROGRESS = 6;
 
-  /** An answer, with a description: the call stands. */
+  /** Answer, with a description: the call is established. */
   public static final int ANSWER = 9;
 
-  /** A refusal, a give-up or a release, by its sender and the state of the call. */
+  /** Refusal, abandonment or release, depending on its sender and the state of the call. */
   public static final int RELEASE = 12;
 
-  /** A release was heard. */
+  /** Acknowledgement of a {@link #RELEASE}. */
   public static final int RELEASE_HEARD = 16;
 
-  /** A test. */
+  /** Test of the controller by the caller. */
   public static final int TEST = 52;
 
-  /** What came of a test: cause 1 passed, 0 failed. */
+  /** Result of a test: cause 1 for passed, 0 for failed. */
   public static final int TESTED = 53;
 
-  /** Parameter: the class. */
+  /** Parameter: the call class. */
   public static final int CLASS = 16;
 
-  /** Parameter: time that the caller waits, ms. */
+  /** Parameter: time for which the caller still waits, ms. */
   public static final int LEFT = 17;
 
-  /** Parameter: marks a caller's retry. */
+  /** Parameter: marks the retry of an earlier set-up. */
   public static final int RETRY = 19;
 
-  /** Parameter: the number called. */
+  /** Parameter: the called number. */
   public static final int NUMBER = 20;
 
-  /** Parameter: further figures. */
+  /** Parameter: further figures, {@code name:value} pairs. */
   public static final int FIGURES = 21;
 
-  /** Parameter: time that a refused caller should stay away, ms. */
+  /** Parameter: time for which a refused caller should not call again, ms. */
   public static final int WAIT = 22;
 
   /** Parameter: the cause, one octet. */
@@ -59,22 +59,22 @@
   /** Parameter: the description. */
   public static final int DESCRIPTION = 31;
 
-  /** A message with a cause and nothing else. */
-  public static CallerMessage withCause(int type, String call, int cause) {
+  /** Creates a message whose only parameter is a cause. */
+  public static CallerMessage withCause(int type, String callId, int cause) {
     Map<Integer, byte[]> parameters = new LinkedHashMap<>();
     parameters.put(CAUSE, new byte[] {(byte) cause});
-    return new CallerMessage(type, call, parameters);
+    return new CallerMessage(type, callId, parameters);
   }
 
-  /** Whether a parameter is there. */
+  /** Whether a parameter is present. */
   public boolean has(int code) {
     return parameters.containsKey(code);
   }
 
   /**
-   * A parameter as text; empty where it is absent.
+   * Returns a parameter as text; empty if it is absent.
    *
-   * @throws MalformedException where it is no UTF-8
+   * @throws MalformedException if it is not valid UTF-8
    */
   public String text(int code) throws MalformedException {
     byte[] value = parameters.get(code);
@@ -88,7 +88,7 @@
     }
   }
 
-  /** The cause; -1 where there is none of one octet. */
+  /** Returns the cause; -1 if it is absent or not of one octet. */
   public int cause() {
     byte[] value = parameters.get(CAUSE);
     return value == null || value.length != 1 ? -1 : value[0] & 0xff;
--- a/isup/src/main/java/coveladder/isup/JournalLine.java
+++ b/isup/src/main/java/coveladder/isup/JournalLine.java
@@ -1,87 +1,97 @@
 package coveladder.isup;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /**
- * One line of the journal service: an event, or only the number of the last one.
+ * A line of the journal service: an event, or only the position of the last event.
  *
- * @param position its number, or the last number
- * @param event whether it is an event
- * @param snapshot whether it holds the whole list
- * @param entries the lines of the list, or those that changed
+ * @param position position of the event in the journal, or of the last event
+ * @param event whether the line is an event
+ * @param snapshot whether the event lists all switches, not only the changed ones
+ * @param entries all switches, or the changed ones
  */
 public record JournalLine(long position, boolean event, boolean snapshot, List<Entry> entries) {
 
   /**
-   * A line of the list of switches.
+   * A switch as the journal lists it.
    *
    * @param id the switch's id
-   * @param host where it listens
-   * @param port where it listens
-   * @param exchangeNumber the exchange's number
-   * @param state the platform's word for its state
-   * @param startedAtMillis Unix time of a late start, ms; 0: long ago
+   * @param host host on which it listens
+   * @param port port on which it listens
+   * @param exchangeNumber number of its exchange
+   * @param state its state, in the words of the protocol
+   * @param startedAtMillis Unix time of its start, ms; 0 if it started long ago
    */
   public record Entry(
       String id, String host, int port, int exchangeNumber, String state, double startedAtMillis) {}
 
   /**
-   * Reads a line: an object, or a bare number.
+   * Decodes a line: a JSON object, or a bare position.
    *
-   * @throws MalformedException where it is neither
+   * @throws MalformedException if it is neither
    */
   public static JournalLine decode(byte[] line) throws MalformedException {
-    String text = new String(line, java.nio.charset.StandardCharsets.UTF_8).trim();
+    String text = new String(line, StandardCharsets.UTF_8).trim();
     if (!text.startsWith("{")) {
       return new JournalLine(parseLong("pos", text), false, false, List.of());
     }
-    return read("", Json.flatten(line));
+    return parse("", Json.flatten(line));
   }
 
-  /** Reads the events of a list that stands in a document at a path. */
-  public static List<JournalLine> decodeAll(Map<String, String> paths, String path)
+  /**
+   * Decodes the list of events at a path of a configuration document.
+   *
+   * @param values the document as {@link Json#flatten} returns it
+   * @param path path of the list
+   * @throws MalformedException if an event cannot be read
+   */
+  public static List<JournalLine> decodeAll(Map<String, String> values, String path)
       throws MalformedException {
     List<JournalLine> lines = new ArrayList<>();
-    long count = parseLong(path, paths.getOrDefault(path + ".count", "0"));
+    long count = parseLong(path, values.getOrDefault(path + ".count", "0"));
     for (int i = 0; i < count; i++) {
-      lines.add(read(path + "." + i + ".", paths));
+      lines.add(parse(path + "." + i + ".", values));
     }
     return lines;
   }
 
-  private static JournalLine read(String path, Map<String, String> values)
+  private static JournalLine parse(String prefix, Map<String, String> values)
       throws MalformedException {
-    long pos = parseLong(path + "pos", text(values, path + "pos"));
-    String list = path + "hosts.instances.";
-    if (!values.containsKey(list + "count")) {
-      return new JournalLine(pos, values.containsKey(path + "hosts.generation"), false, List.of());
+    long position = parseLong(prefix + "pos", requireValue(values, prefix + "pos"));
+    String instancesPath = prefix + "hosts.instances.";
+    if (!values.containsKey(instancesPath + "count")) {
+      return new JournalLine(
+          position, values.containsKey(prefix + "hosts.generation"), false, List.of());
     }
-    long count = parseLong(list, values.get(list + "count"));
+    long count = parseLong(instancesPath, values.get(instancesPath + "count"));
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      entries.add(entry(list + i + ".", values));
+      entries.add(parseEntry(instancesPath + i + ".", values));
     }
-    boolean whole = Boolean.parseBoolean(values.get(path + "hosts.reset"));
-    return new JournalLine(pos, true, whole, entries);
+    boolean snapshot = Boolean.parseBoolean(values.get(prefix + "hosts.reset"));
+    return new JournalLine(position, true, snapshot, entries);
   }
 
-  private static Entry entry(String path, Map<String, String> values) throws MalformedException {
-    String address = text(values, path + "hostPort");
+  private static Entry parseEntry(String prefix, Map<String, String> values)
+      throws MalformedException {
+    String address = requireValue(values, prefix + "hostPort");
     int colon = address.lastIndexOf(':');
-    MalformedException.expect(colon > 0, path + "hostPort is no address");
-    String started = values.getOrDefault(path + "startedAtMs", "0");
+    MalformedException.expect(colon > 0, prefix + "hostPort is no address");
+    String startedAtMillis = values.getOrDefault(prefix + "startedAtMs", "0");
     return new Entry(
-        text(values, path + "instanceId"),
+        requireValue(values, prefix + "instanceId"),
         address.substring(0, colon),
-        (int) parseLong(path + "hostPort", address.substring(colon + 1)),
-        (int) parseLong(path + "cell", text(values, path + "cell")),
-        text(values, path + "lifecycle"),
-        number(path + "startedAtMs", started));
+        (int) parseLong(prefix + "hostPort", address.substring(colon + 1)),
+        (int) parseLong(prefix + "cell", requireValue(values, prefix + "cell")),
+        requireValue(values, prefix + "lifecycle"),
+        parseDouble(prefix + "startedAtMs", startedAtMillis));
   }
 
-  private static String text(Map<String, String> values, String path) throws MalformedException {
+  private static String requireValue(Map<String, String> values, String path)
+      throws MalformedException {
     String value = values.get(path);
     MalformedException.expect(value != null, path + " is missing");
     return value;
@@ -95,7 +105,7 @@
     }
   }
 
-  private static double number(String path, String text) throws MalformedException {
+  private static double parseDouble(String path, String text) throws MalformedException {
     try {
       return Double.parseDouble(text);
     } catch (NumberFormatException e) {
--- a/isup/src/main/java/coveladder/isup/Json.java
+++ b/isup/src/main/java/coveladder/isup/Json.java
@@ -11,8 +11,9 @@
 import java.util.Map;
 
 /**
- * Jackson streaming as this package uses it. Names stay canonicalized (Jackson bounds its table):
- * without that, it reads octets through a decoder that puts a sign of its own for what is no UTF-8.
+ * Reads JSON with Jackson's streaming parser. Canonicalization of names stays enabled (Jackson
+ * bounds the table of names): without it, Jackson decodes octets with a decoder that replaces
+ * invalid UTF-8 by a substitute character instead of rejecting it.
  */
 public final class Json {
   static final JsonFactory FACTORY =
@@ -25,17 +26,17 @@
   private Json() {}
 
   /**
-   * A document as values by their paths: members after a dot, elements of a list by their number
-   * with `count` beside them, a list of plain values also as one value set apart by commas. Nulls
-   * are left out.
+   * Flattens a document to its values by path. A path joins the names of members with dots;
+   * elements of a list are named by their index, and {@code count} holds the length of the list.
+   * The scalars of a list are also stored at its own path, separated by commas. Nulls are omitted.
    *
-   * @throws MalformedException where it is no JSON object, whole and alone
+   * @throws MalformedException if the document is not exactly one complete JSON object
    */
   public static Map<String, String> flatten(byte[] document) throws MalformedException {
     Map<String, String> values = new LinkedHashMap<>();
     try (JsonParser parser = FACTORY.createParser(document)) {
       MalformedException.expect(parser.nextToken() == JsonToken.START_OBJECT, "no object");
-      object(parser, "", values);
+      flattenObject(parser, "", values);
       MalformedException.expect(parser.nextToken() == null, "more than one object");
       return values;
     } catch (IOException e) {
@@ -43,45 +44,47 @@
     }
   }
 
+  /** Converts a parser's error, keeping the first line of its message. */
   static MalformedException malformed(IOException e) {
     String message = String.valueOf(e.getMessage());
-    int end = message.indexOf('\n');
-    return new MalformedException("no JSON: " + (end < 0 ? message : message.substring(0, end)));
+    int lineEnd = message.indexOf('\n');
+    return new MalformedException(
+        "no JSON: " + (lineEnd < 0 ? message : message.substring(0, lineEnd)));
   }
 
-  private static void object(JsonParser parser, String path, Map<String, String> values)
+  private static void flattenObject(JsonParser parser, String path, Map<String, String> values)
       throws IOException {
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
       parser.nextToken();
-      value(parser, path.isEmpty() ? name : path + "." + name, values);
+      flattenValue(parser, path.isEmpty() ? name : path + "." + name, values);
     }
   }
 
-  private static void value(JsonParser parser, String path, Map<String, String> values)
+  private static void flattenValue(JsonParser parser, String path, Map<String, String> values)
       throws IOException {
     switch (parser.currentToken()) {
-      case START_OBJECT -> object(parser, path, values);
-      case START_ARRAY -> list(parser, path, values);
+      case START_OBJECT -> flattenObject(parser, path, values);
+      case START_ARRAY -> flattenList(parser, path, values);
       case VALUE_NULL -> {}
       default -> values.put(path, parser.getText());
     }
   }
 
-  private static void list(JsonParser parser, String path, Map<String, String> values)
+  private static void flattenList(JsonParser parser, String path, Map<String, String> values)
       throws IOException {
-    StringBuilder plain = new StringBuilder();
+    StringBuilder scalars = new StringBuilder();
     int count = 0;
     while (parser.nextToken() != JsonToken.END_ARRAY) {
       if (parser.currentToken().isScalarValue()) {
-        plain.append(count == 0 ? "" : ",").append(parser.getText());
+        scalars.append(count == 0 ? "" : ",").append(parser.getText());
       }
-      value(parser, path + "." + count, values);
+      flattenValue(parser, path + "." + count, values);
       count++;
     }
     values.put(path + ".count", Integer.toString(count));
-    if (plain.length() > 0) {
-      values.put(path, plain.toString());
+    if (scalars.length() > 0) {
+      values.put(path, scalars.toString());
     }
   }
 }
--- a/isup/src/main/java/coveladder/isup/LineFramer.java
+++ b/isup/src/main/java/coveladder/isup/LineFramer.java
@@ -3,67 +3,72 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Cuts octets into lines ended by a line feed, however they arrive. Holds one line at most. */
+/**
+ * Splits an octet stream into lines that end in a line feed, however the octets are distributed
+ * over reads. It buffers at most one line.
+ */
 public final class LineFramer {
-  private final int most;
-  private byte[] held = new byte[256];
-  private int filled;
+  private final int maxLineBytes;
+  private byte[] partialLine = new byte[256];
+  private int partialLength;
 
   /**
-   * Makes a framer.
+   * Creates a framer.
    *
-   * @param most most octets of a line
+   * @param maxLineBytes greatest length of a line, octets
    */
-  public LineFramer(int most) {
-    this.most = most;
+  public LineFramer(int maxLineBytes) {
+    this.maxLineBytes = maxLineBytes;
   }
 
   /**
-   * Takes octets in and hands on whole lines without their ends. After an error the stream is of no
-   * further use.
+   * Reads octets and passes each complete line, without its line feed, to the receiver. After an
+   * error the stream cannot be framed any further.
    *
-   * @throws MalformedException where a line is longer than the bound
+   * @throws MalformedException if a line is longer than the limit
    */
-  public void feed(byte[] octets, Consumer<byte[]> lines) throws MalformedException {
+  public void feed(byte[] octets, Consumer<byte[]> receiver) throws MalformedException {
     int from = 0;
-    for (int at = 0; at < octets.length; at++) {
-      if (octets[at] == '\n') {
-        lines.accept(whole(octets, from, at));
-        from = at + 1;
+    for (int index = 0; index < octets.length; index++) {
+      if (octets[index] == '\n') {
+        receiver.accept(completeLine(octets, from, index));
+        from = index + 1;
       }
     }
-    keep(octets, from, octets.length);
+    append(octets, from, octets.length);
   }
 
-  private byte[] whole(byte[] octets, int from, int to) throws MalformedException {
-    if (filled == 0) {
-      check(to - from);
+  private byte[] completeLine(byte[] octets, int from, int to) throws MalformedException {
+    if (partialLength == 0) {
+      checkLength(to - from);
       return Arrays.copyOfRange(octets, from, to);
     }
-    keep(octets, from, to);
-    byte[] line = Arrays.copyOf(held, filled);
-    filled = 0;
+    append(octets, from, to);
+    byte[] line = Arrays.copyOf(partialLine, partialLength);
+    partialLength = 0;
     return line;
   }
 
-  private void keep(byte[] octets, int from, int to) throws MalformedException {
-    int length = filled + to - from;
-    check(length);
-    if (length > held.length) {
-      held = Arrays.copyOf(held, Math.min(most, Math.max(length, 2 * held.length)));
+  private void append(byte[] octets, int from, int to) throws MalformedException {
+    int length = partialLength + to - from;
+    checkLength(length);
+    if (length > partialLine.length) {
+      partialLine =
+          Arrays.copyOf(
+              partialLine, Math.min(maxLineBytes, Math.max(length, 2 * partialLine.length)));
     }
-    System.arraycopy(octets, from, held, filled, to - from);
-    filled = length;
+    System.arraycopy(octets, from, partialLine, partialLength, to - from);
+    partialLength = length;
   }
 
-  private void check(int length) throws MalformedException {
-    if (length > most) {
-      throw new MalformedException("a line of more than " + most + " octets");
+  private void checkLength(int length) throws MalformedException {
+    if (length > maxLineBytes) {
+      throw new MalformedException("a line of more than " + maxLineBytes + " octets");
     }
   }
 
-  /** Whether a line has begun and is not whole. */
+  /** Whether a line has begun and is not complete. */
   public boolean hasPartialLine() {
-    return filled > 0;
+    return partialLength > 0;
   }
 }
--- a/isup/src/main/java/coveladder/isup/MalformedException.java
+++ b/isup/src/main/java/coveladder/isup/MalformedException.java
@@ -1,18 +1,24 @@
 package coveladder.isup;
 
-/** Octets that are no message; what says so tells what was found. */
+/** Thrown for octets that are not a valid message or document. Its message says what was found. */
 public final class MalformedException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says what was found. */
-  public MalformedException(String found) {
-    super(found, null, false, false);
+  /** Creates the exception without a stack trace; {@code problem} says what was found. */
+  public MalformedException(String problem) {
+    super(problem, null, false, false);
   }
 
-  /** Says what was found, unless it is as it should be. */
-  public static void expect(boolean so, String found) throws MalformedException {
-    if (!so) {
-      throw new MalformedException(found);
+  /**
+   * Checks a condition.
+   *
+   * @param condition what a valid message fulfils
+   * @param problem what was found instead
+   * @throws MalformedException if the condition is false
+   */
+  public static void expect(boolean condition, String problem) throws MalformedException {
+    if (!condition) {
+      throw new MalformedException(problem);
     }
   }
 }
--- a/isup/src/main/java/coveladder/isup/SwitchCodec.java
+++ b/isup/src/main/java/coveladder/isup/SwitchCodec.java
@@ -7,23 +7,25 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 
-/** Lines of switch messages. */
+/** Encodes and decodes switch messages: one JSON object on each line. */
 public final class SwitchCodec {
+  /** Value of {@link SwitchMessage#code} if there is none. */
   private static final int NO_CODE = -1;
 
   private SwitchCodec() {}
 
   /**
-   * Reads a line.
+   * Decodes a line.
    *
-   * @throws MalformedException where it is no message
+   * @throws MalformedException if it is not a message
    */
   public static SwitchMessage decode(byte[] line) throws MalformedException {
     try (JsonParser parser = Json.FACTORY.createParser(line)) {
       MalformedException.expect(parser.nextToken() == JsonToken.START_OBJECT, "no object");
-      SwitchMessage message = read(parser);
+      SwitchMessage message = readMessage(parser);
       MalformedException.expect(parser.nextToken() == null, "more than one object in a line");
       return message;
     } catch (IOException e) {
@@ -31,7 +33,8 @@
     }
   }
 
-  private static SwitchMessage read(JsonParser parser) throws IOException, MalformedException {
+  private static SwitchMessage readMessage(JsonParser parser)
+      throws IOException, MalformedException {
     SwitchMessage.Kind kind = null;
     String sid = "";
     Map<String, String> attrs = Map.of();
@@ -41,9 +44,9 @@
       String name = parser.currentName();
       JsonToken token = parser.nextToken();
       switch (name) {
-        case "msg" -> kind = kind(parser.getText());
+        case "msg" -> kind = parseKind(parser.getText());
         case "sid" -> sid = parser.getText();
-        case "attrs" -> attrs = attrs(parser);
+        case "attrs" -> attrs = readAttrs(parser);
         case "code" -> {
           MalformedException.expect(token == JsonToken.VALUE_NUMBER_INT, "code is no whole number");
           code = parser.getIntValue();
@@ -51,7 +54,7 @@
         case "text" -> {
           MalformedException.expect(token == JsonToken.VALUE_STRING, "text is no string");
           text = parser.getText();
-          MalformedException.expect(whole(text), "text has half a character");
+          MalformedException.expect(hasPairedSurrogates(text), "text has half a character");
         }
         default -> parser.skipChildren();
       }
@@ -60,7 +63,7 @@
     return new SwitchMessage(kind, sid, attrs, code, text);
   }
 
-  private static SwitchMessage.Kind kind(String word) throws MalformedException {
+  private static SwitchMessage.Kind parseKind(String word) throws MalformedException {
     return switch (word) {
       case "open" -> SwitchMessage.Kind.OPEN;
       case "trying" -> SwitchMessage.Kind.TRYING;
@@ -74,7 +77,7 @@
     };
   }
 
-  private static Map<String, String> attrs(JsonParser parser)
+  private static Map<String, String> readAttrs(JsonParser parser)
       throws IOException, MalformedException {
     MalformedException.expect(
         parser.currentToken() == JsonToken.START_OBJECT, "attrs is no object");
@@ -88,28 +91,28 @@
     return attrs;
   }
 
-  /** Whether no character of more than 16 bits is cut in two, so that UTF-8 can write it. */
-  private static boolean whole(String text) {
+  /** Whether all surrogates come in pairs, so that the text can be encoded as UTF-8. */
+  private static boolean hasPairedSurrogates(String text) {
     for (int i = 0; i < text.length(); i++) {
-      char c = text.charAt(i);
-      if (Character.isHighSurrogate(c)) {
+      char character = text.charAt(i);
+      if (Character.isHighSurrogate(character)) {
         i++;
         if (i == text.length() || !Character.isLowSurrogate(text.charAt(i))) {
           return false;
         }
-      } else if (Character.isLowSurrogate(c)) {
+      } else if (Character.isLowSurrogate(character)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Writes a message as a line, with its line feed. */
+  /** Encodes a message as a line that ends in a line feed. */
   public static byte[] encode(SwitchMessage message) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-    try (JsonGenerator generator = Json.FACTORY.createGenerator(out)) {
+    ByteArrayOutputStream output = new ByteArrayOutputStream(256);
+    try (JsonGenerator generator = Json.FACTORY.createGenerator(output)) {
       generator.writeStartObject();
-      generator.writeStringField("msg", message.kind().name().toLowerCase(java.util.Locale.ROOT));
+      generator.writeStringField("msg", message.kind().name().toLowerCase(Locale.ROOT));
       generator.writeStringField("sid", message.sid());
       generator.writeObjectFieldStart("attrs");
       for (Map.Entry<String, String> field : message.attrs().entrySet()) {
@@ -125,8 +128,8 @@
       generator.writeEndObject();
       generator.writeRaw('\n');
     } catch (IOException e) {
-      throw new UncheckedIOException("no message can be written to memory", e);
+      throw new UncheckedIOException("cannot write a message to memory", e);
     }
-    return out.toByteArray();
+    return output.toByteArray();
   }
 }
--- a/isup/src/main/java/coveladder/isup/SwitchMessage.java
+++ b/isup/src/main/java/coveladder/isup/SwitchMessage.java
@@ -5,36 +5,36 @@
 /**
  * A message between a call controller and a switch.
  *
- * @param kind what it is
+ * @param kind the type of the message
  * @param sid the call's id, 16 hex digits
- * @param attrs fields; numbers are kept as they were written
- * @param code the cause; -1 where there is none
- * @param text the description; null where there is none
+ * @param attrs further fields; numbers as the sender wrote them
+ * @param code the cause, or the result of a probe; -1 if there is none
+ * @param text the description; null if there is none
  */
 public record SwitchMessage(
     Kind kind, String sid, Map<String, String> attrs, int code, String text) {
 
-  /** Kinds of messages, by their words. */
+  /** Types of messages. Each constant's name, in lower case, is its name on the wire. */
   public enum Kind {
-    /** A set-up. */
+    /** Set-up of a call. */
     OPEN,
-    /** Progress; means nothing. */
+    /** Progress of a set-up; carries no information. */
     TRYING,
-    /** An answer: the call stands. */
+    /** Answer: the call is established. */
     READY,
-    /** A refusal, a give-up or a release. */
+    /** Refusal, abandonment or release. */
     CLOSE,
-    /** A release was heard. */
+    /** Acknowledgement of a {@link #CLOSE}. */
     CLOSED,
-    /** A test. */
+    /** Test of the switch. */
     PROBE,
-    /** What came of a test: cause 1 passed, 0 failed. */
+    /** Result of a test: code 1 for passed, 0 for failed. */
     PROBED,
-    /** The state of a group. */
+    /** State of a circuit group. */
     STATUS
   }
 
-  /** A message with a cause and nothing else. */
+  /** Creates a message with a code, without fields and description. */
   public static SwitchMessage withCode(Kind kind, String sid, int code) {
     return new SwitchMessage(kind, sid, Map.of(), code, null);
   }
--- a/isup/src/test/java/coveladder/isup/CallerCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/CallerCodecTest.java
@@ -17,82 +17,84 @@
 import org.junit.jupiter.api.Test;
 
 class CallerCodecTest {
-  private static final int MOST = 16_384;
+  private static final int MAX_MESSAGE_BYTES = 16_384;
 
-  private static CallerMessage setUp() {
-    Map<Integer, byte[]> with = new LinkedHashMap<>();
-    with.put(CallerMessage.CLASS, "voice".getBytes(StandardCharsets.UTF_8));
-    with.put(CallerMessage.DESCRIPTION, "a\r\nb".getBytes(StandardCharsets.UTF_8));
-    return new CallerMessage(CallerMessage.SET_UP, "9b1f03aa5c7e2d41", with);
+  private static CallerMessage setUpMessage() {
+    Map<Integer, byte[]> parameters = new LinkedHashMap<>();
+    parameters.put(CallerMessage.CLASS, "voice".getBytes(StandardCharsets.UTF_8));
+    parameters.put(CallerMessage.DESCRIPTION, "a\r\nb".getBytes(StandardCharsets.UTF_8));
+    return new CallerMessage(CallerMessage.SET_UP, "9b1f03aa5c7e2d41", parameters);
   }
 
-  private static List<byte[]> cut(byte[] octets, int at) throws MalformedException {
-    List<byte[]> found = new ArrayList<>();
-    CallerFramer framer = new CallerFramer(MOST);
-    framer.feed(Arrays.copyOf(octets, at), found::add);
-    framer.feed(Arrays.copyOfRange(octets, at, octets.length), found::add);
-    return found;
+  private static List<byte[]> frameInTwoReads(byte[] octets, int splitAt)
+      throws MalformedException {
+    List<byte[]> bodies = new ArrayList<>();
+    CallerFramer framer = new CallerFramer(MAX_MESSAGE_BYTES);
+    framer.feed(Arrays.copyOf(octets, splitAt), bodies::add);
+    framer.feed(Arrays.copyOfRange(octets, splitAt, octets.length), bodies::add);
+    return bodies;
   }
 
   @Test
-  void twoMessagesAreReadWhereverTheyAreCut() throws MalformedException {
-    byte[] one = CallerCodec.encode(setUp());
-    byte[] both = Arrays.copyOf(one, 2 * one.length);
-    System.arraycopy(one, 0, both, one.length, one.length);
-    for (int at = 0; at <= both.length; at++) {
-      List<byte[]> found = cut(both, at);
-      assertEquals(2, found.size(), "cut at " + at);
-      CallerMessage read = CallerCodec.decode(found.get(1));
-      assertEquals("9b1f03aa5c7e2d41", read.callId());
-      assertEquals("voice", read.text(CallerMessage.CLASS));
-      assertEquals("a\r\nb", read.text(CallerMessage.DESCRIPTION));
+  void framesTwoMessagesWhereverTheOctetsAreSplit() throws MalformedException {
+    byte[] message = CallerCodec.encode(setUpMessage());
+    byte[] twoMessages = Arrays.copyOf(message, 2 * message.length);
+    System.arraycopy(message, 0, twoMessages, message.length, message.length);
+    for (int splitAt = 0; splitAt <= twoMessages.length; splitAt++) {
+      List<byte[]> bodies = frameInTwoReads(twoMessages, splitAt);
+      assertEquals(2, bodies.size(), "split at " + splitAt);
+      CallerMessage decoded = CallerCodec.decode(bodies.get(1));
+      assertEquals("9b1f03aa5c7e2d41", decoded.callId());
+      assertEquals("voice", decoded.text(CallerMessage.CLASS));
+      assertEquals("a\r\nb", decoded.text(CallerMessage.DESCRIPTION));
     }
   }
 
   @Test
-  void lengthsThatFitNoMessageAreRefusedAtOnce() {
-    for (byte[] head : new byte[][] {{0, 0}, {0, 8}, {(byte) 0xff, (byte) 0xff}, {0x40, 0}}) {
-      CallerFramer framer = new CallerFramer(MOST);
-      assertThrows(MalformedException.class, () -> framer.feed(head, body -> {}));
+  void rejectsInvalidLengthBeforeReadingTheBody() {
+    for (byte[] lengthField :
+        new byte[][] {{0, 0}, {0, 8}, {(byte) 0xff, (byte) 0xff}, {0x40, 0}}) {
+      CallerFramer framer = new CallerFramer(MAX_MESSAGE_BYTES);
+      assertThrows(MalformedException.class, () -> framer.feed(lengthField, body -> {}));
     }
   }
 
   @Test
-  void parametersLongerThanTheirMessageOrTwiceAreRefused() {
-    byte[] head = {1, 0, 0, 0, 0, 0, 0, 0, 1};
-    for (byte[] rest :
+  void rejectsTruncatedAndDuplicateParameters() {
+    byte[] header = {1, 0, 0, 0, 0, 0, 0, 0, 1};
+    for (byte[] malformedParameters :
         new byte[][] {{16}, {16, 0}, {16, 0, 1}, {16, (byte) 0xff, 0, 1}, {19, 0, 0, 19, 0, 0}}) {
-      byte[] body = Arrays.copyOf(head, head.length + rest.length);
-      System.arraycopy(rest, 0, body, head.length, rest.length);
+      byte[] body = Arrays.copyOf(header, header.length + malformedParameters.length);
+      System.arraycopy(malformedParameters, 0, body, header.length, malformedParameters.length);
       assertThrows(MalformedException.class, () -> CallerCodec.decode(body));
     }
   }
 
   @Test
-  void textThatIsNoUtf8IsRefusedAndACauseIsOneOctet() {
-    Map<Integer, byte[]> with = Map.of(CallerMessage.CLASS, new byte[] {(byte) 0xc3});
-    CallerMessage message = new CallerMessage(1, "0000000000000001", with);
+  void rejectsInvalidUtf8AndReadsACauseOfOneOctet() {
+    Map<Integer, byte[]> parameters = Map.of(CallerMessage.CLASS, new byte[] {(byte) 0xc3});
+    CallerMessage message = new CallerMessage(1, "0000000000000001", parameters);
     assertThrows(MalformedException.class, () -> message.text(CallerMessage.CLASS));
     assertEquals(-1, message.cause());
     assertEquals(102, CallerMessage.withCause(12, "0000000000000001", 102).cause());
   }
 
   @Property(tries = 300)
-  void noOctetsMakeTheFramerHoldMoreThanOneMessage(@ForAll List<@Size(max = 40) byte[]> reads) {
+  void framerNeverBuffersMoreThanOneMessage(@ForAll List<@Size(max = 40) byte[]> chunks) {
     CallerFramer framer = new CallerFramer(64);
-    List<byte[]> found = new ArrayList<>();
+    List<byte[]> bodies = new ArrayList<>();
     try {
-      for (byte[] read : reads) {
-        framer.feed(read, found::add);
+      for (byte[] chunk : chunks) {
+        framer.feed(chunk, bodies::add);
       }
     } catch (MalformedException e) {
       assertTrue(e.getMessage().contains("expected 9 to 62"));
     }
-    found.forEach(body -> assertTrue(body.length <= 62));
+    bodies.forEach(body -> assertTrue(body.length <= 62));
   }
 
   @Test
-  void whatIsWrittenIsAsThePlatformHasIt() {
+  void encodesTheOctetsThatThePlatformExpects() {
     byte[] expected = {0, 13, 12, 0, 0, 0, 0, 0, 0, 0, 5, 30, 0, 1, 34};
     CallerMessage release = CallerMessage.withCause(12, "0000000000000005", 34);
     assertArrayEquals(expected, CallerCodec.encode(release));
--- a/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
@@ -7,6 +7,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -20,24 +21,24 @@
   }
 
   @Test
-  void aDescriptionComesThroughBothWaysUnchanged() throws MalformedException {
+  void descriptionSurvivesEncodingAndDecoding() throws MalformedException {
     String text = "9d41\r\nc=IN \"q\" \\ \u00e9 \ud83d\ude00\u0000\t\n";
-    SwitchMessage out =
+    SwitchMessage message =
         new SwitchMessage(
             SwitchMessage.Kind.READY, "9b1f03aa5c7e2d41", Map.of("load", "x0:1"), -1, text);
-    byte[] line = SwitchCodec.encode(out);
+    byte[] line = SwitchCodec.encode(message);
     assertEquals('\n', line[line.length - 1]);
-    assertEquals(out, SwitchCodec.decode(line));
+    assertEquals(message, SwitchCodec.decode(line));
   }
 
   @Test
-  void numbersInFieldsAreKeptAndFurtherMembersSkipped() throws MalformedException {
-    SwitchMessage read =
+  void keepsNumbersAsWrittenAndSkipsUnknownMembers() throws MalformedException {
+    SwitchMessage decoded =
         SwitchCodec.decode(
             bytes(
                 "{\"msg\":\"close\",\"x\":[{}],\"sid\":\"a\",\"attrs\":{\"n\":1.50},\"code\":34}"));
     assertEquals(
-        new SwitchMessage(SwitchMessage.Kind.CLOSE, "a", Map.of("n", "1.50"), 34, null), read);
+        new SwitchMessage(SwitchMessage.Kind.CLOSE, "a", Map.of("n", "1.50"), 34, null), decoded);
   }
 
   @ParameterizedTest
@@ -59,26 +60,26 @@
         "{\"msg\":\"close\",\"attrs\":[]}",
         "{\"msg\":\"close\",\"attrs\":{\"a\":{}}}"
       })
-  void linesThatAreNoMessageAreRefused(String line) {
+  void rejectsLinesThatAreNoMessage(String line) {
     assertThrows(MalformedException.class, () -> SwitchCodec.decode(bytes(line)));
   }
 
   @Test
-  void octetsThatAreNoUtf8AreRefused() {
+  void rejectsInvalidUtf8() {
     byte[] line = bytes("{\"msg\":\"ready\",\"text\":\"x\"}");
     line[line.length - 3] = (byte) 0xff;
     assertThrows(MalformedException.class, () -> SwitchCodec.decode(line));
   }
 
   @Test
-  void linesAreReadWhereverTheyAreCutAndEndlessOnesEnd() throws MalformedException {
+  void framesLinesWhereverTheOctetsAreSplitAndRejectsTooLongOnes() throws MalformedException {
     byte[] octets = bytes("one\n\ntwo\nrest");
-    for (int at = 0; at <= octets.length; at++) {
+    for (int splitAt = 0; splitAt <= octets.length; splitAt++) {
       LineFramer framer = new LineFramer(8);
       List<String> lines = new ArrayList<>();
-      framer.feed(java.util.Arrays.copyOf(octets, at), l -> lines.add(new String(l)));
+      framer.feed(Arrays.copyOf(octets, splitAt), l -> lines.add(new String(l)));
       framer.feed(
-          java.util.Arrays.copyOfRange(octets, at, octets.length), l -> lines.add(new String(l)));
+          Arrays.copyOfRange(octets, splitAt, octets.length), l -> lines.add(new String(l)));
       assertEquals(List.of("one", "", "two"), lines);
       assertTrue(framer.hasPartialLine());
     }
@@ -88,7 +89,7 @@
   }
 
   @Test
-  void theJournalsLinesAreReadInBothForms() throws MalformedException {
+  void decodesJournalEventsAndBarePositions() throws MalformedException {
     JournalLine event =
         JournalLine.decode(
             bytes(
@@ -100,9 +101,9 @@
         List.of(new JournalLine.Entry("s-1", "10.1.0.9", 2905, 2, "in_service", 0)),
         event.entries());
     for (String line : new String[] {"41", "{\"pos\":41}"}) {
-      JournalLine number = JournalLine.decode(bytes(line));
-      assertFalse(number.event());
-      assertEquals(41, number.position());
+      JournalLine positionOnly = JournalLine.decode(bytes(line));
+      assertFalse(positionOnly.event());
+      assertEquals(41, positionOnly.position());
     }
     for (String line :
         new String[] {"x", "{}", "{\"pos\":41,\"hosts\":{\"insta", "{\"pos\":\"a\"}"}) {
@@ -111,8 +112,8 @@
   }
 
   @Test
-  void aDocumentIsReadByPaths() throws MalformedException {
-    Map<String, String> paths =
+  void flattensADocumentToValuesByPath() throws MalformedException {
+    Map<String, String> values =
         Json.flatten(bytes("{\"a\":{\"b\":[{\"c\":1},{\"c\":true}],\"d\":[1.5,2],\"e\":null}}"));
     assertEquals(
         Map.of(
@@ -130,6 +131,6 @@
             "2",
             "a.d.count",
             "2"),
-        paths);
+        values);
   }
 }
