--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -4,11 +4,11 @@
 import coveladder.net.SocketLimits;
 import coveladder.net.SocketNode;
 import coveladder.net.Sockets;
+import coveladder.sip.AbstractSipNode;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
 import coveladder.sip.Failure;
 import coveladder.sip.Hop;
-import coveladder.sip.SipElement;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipResponse;
@@ -70,7 +70,7 @@
       spec.commandLine().getErr().println("URI is sip:number@domain, --via HOST:PORT");
       return 2;
     }
-    Hop controller = place.hop().by(tcp ? Transport.TCP : Transport.UDP);
+    Hop controller = place.hop().withTransport(tcp ? Transport.TCP : Transport.UDP);
     CountDownLatch done = new CountDownLatch(1);
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("call", System.nanoTime(), 1_000);
@@ -86,7 +86,7 @@
   }
 
   /** The caller. */
-  private final class OneCall extends SipElement implements CallListener {
+  private final class OneCall extends AbstractSipNode implements CallListener {
     private final SipHost host;
     private final Hop controller;
     private final CountDownLatch done;
@@ -110,7 +110,7 @@
     public void start() {
       begun = host.now();
       SipRequest invite = new SipRequest("INVITE", uri);
-      invite.add("From", "<sip:call@" + host.local(controller.transport()).host() + '>');
+      invite.add("From", "<sip:call@" + host.localHop(controller.transport()).host() + '>');
       invite.add("To", '<' + uri + '>');
       invite.add("Expires", Integer.toString(patience));
       invite.add("Supported", "histinfo");
@@ -120,8 +120,8 @@
       }
       invite.body("application/sdp", SDP);
       print("INVITE " + uri + " to " + controller);
-      CallLeg leg = agent().call(invite, controller, this);
-      host.after(1000.0 * patience, () -> giveUp(leg));
+      CallLeg leg = userAgent().call(invite, controller, this);
+      host.schedule(1000.0 * patience, () -> giveUp(leg));
     }
 
     private void giveUp(CallLeg leg) {
@@ -148,13 +148,13 @@
     public void answered(CallLeg leg, SipResponse response) {
       stood = true;
       leg.ack(null);
-      host.after(1000.0 * hold, () -> hangUp(leg));
+      host.schedule(1000.0 * hold, () -> hangUp(leg));
     }
 
     private void hangUp(CallLeg leg) {
       print("BYE");
       leg.bye("Q.850;cause=16");
-      host.after(200, done::countDown);
+      host.schedule(200, done::countDown);
     }
 
     @Override
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -183,10 +183,10 @@
     Gauge.builder("coveladder.connections", node, SocketNode::connectionCount).register(meters);
     Gauge.builder("coveladder.peers.let.go", node, SocketNode::overflowDisconnects)
         .register(meters);
-    Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().unreadable())
+    Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().malformedMessages())
         .register(meters);
     Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::heldBack).register(meters);
-    Gauge.builder("coveladder.transactions", front, f -> f.stack().agent().layer().size())
+    Gauge.builder("coveladder.transactions", front, f -> f.stack().userAgent().layer().size())
         .register(meters);
   }
 
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -173,7 +173,7 @@
     int port = section.whole("port", Double.NaN, leastPort, 65535);
     String by = chosen ? section.word("transport", "tcp", List.of("tcp", "udp")) : "udp";
     section.done();
-    return new Hop(Transport.named(by), host, port);
+    return new Hop(Transport.fromName(by), host, port);
   }
 
   private Settings.Kind kind(Section section) {
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -42,7 +42,7 @@
     SocketNode switchNode = node();
     int controllerPort = freePort();
     FleetPlan plan = FleetPlan.eight().sized(2, 1);
-    Transport by = Transport.named(transport);
+    Transport by = Transport.fromName(transport);
     Hop calleePlace = new Hop(by, HOST, callee.port());
     StandinList list = new StandinList(listNode, plan.timing(), 10);
     list.enter(List.of(line(0, switchNode.port()), line(1, callee.port())));
@@ -53,7 +53,7 @@
             0,
             "x0.example",
             new Hop(Transport.UDP, HOST, controllerPort),
-            Map.of("x0.example", switchNode.local(Transport.UDP), "x1.example", calleePlace),
+            Map.of("x0.example", switchNode.localHop(Transport.UDP), "x1.example", calleePlace),
             Map.of("x0.example", 0, "x1.example", 1),
             Map.of(),
             Map.of(),
--- a/bench/src/main/java/coveladder/bench/EchoCaller.java
+++ b/bench/src/main/java/coveladder/bench/EchoCaller.java
@@ -54,7 +54,7 @@
   @Override
   public void start() {
     begun = host.now() + 500;
-    host.after(500, this::tick);
+    host.schedule(500, this::tick);
   }
 
   private void tick() {
@@ -65,7 +65,7 @@
       sent++;
     }
     if (sent < calls) {
-      host.after(TICK, this::tick);
+      host.schedule(TICK, this::tick);
     }
   }
 
@@ -80,7 +80,7 @@
   }
 
   private String request(String method, int call, String toTag, String more) {
-    Hop own = host.local(controller.transport());
+    Hop own = host.localHop(controller.transport());
     String by = controller.transport().name();
     String to = "sip:5551234@x" + (1 + call % (EchoSwitch.EXCHANGES - 1)) + ".example";
     return method
@@ -158,7 +158,7 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {}
+  public void connectionFailed(Hop hop, Failure failure) {}
 
   boolean done() {
     return sent == calls && stood + refused >= calls;
--- a/bench/src/main/java/coveladder/bench/EchoSwitch.java
+++ b/bench/src/main/java/coveladder/bench/EchoSwitch.java
@@ -42,7 +42,7 @@
 
   /** Tells its circuits again and again, as a switch does whose groups change all the time. */
   private void again(Hop to, String subscribe) {
-    host.after(
+    host.schedule(
         NOTIFY_EVERY,
         () -> {
           notify(to, subscribe);
@@ -137,5 +137,5 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {}
+  public void connectionFailed(Hop hop, Failure failure) {}
 }
--- a/bench/src/main/java/coveladder/bench/StandingCall.java
+++ b/bench/src/main/java/coveladder/bench/StandingCall.java
@@ -6,10 +6,10 @@
 import coveladder.net.EventLoop;
 import coveladder.net.SocketNode;
 import coveladder.net.Sockets;
+import coveladder.sip.AbstractSipNode;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
 import coveladder.sip.Hop;
-import coveladder.sip.SipElement;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipResponse;
@@ -49,7 +49,7 @@
           WholePath.Run.front(controllerNode, own, kept, new RecoveryPace.Budget(1, 1_000));
       switchNode.start(new EchoSwitch(switchNode, switchNode.port()));
       controllerNode.start(front);
-      callerNode.start(new Dialer(callerNode, controllerNode.local(Transport.UDP)));
+      callerNode.start(new Dialer(callerNode, controllerNode.localHop(Transport.UDP)));
       loop.start();
       return withToken(kept.standing.get(20, TimeUnit.SECONDS), token);
     }
@@ -78,7 +78,7 @@
   }
 
   /** Makes one call and holds it. */
-  private static final class Dialer extends SipElement implements CallListener {
+  private static final class Dialer extends AbstractSipNode implements CallListener {
     private final SipHost host;
     private final Hop controller;
 
@@ -95,7 +95,7 @@
       invite.add("To", "<sip:5551234@x1.example>");
       invite.add("Expires", "5");
       invite.body("application/sdp", "v=0\r\no=- 0 0 IN IP4 127.0.0.1\r\ns=-\r\n");
-      agent().call(invite, controller, this);
+      userAgent().call(invite, controller, this);
     }
 
     @Override
@@ -105,7 +105,7 @@
 
     @Override
     public void rejected(CallLeg leg, SipResponse response) {
-      host.after(200, this::start);
+      host.schedule(200, this::start);
     }
   }
 
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -38,7 +38,7 @@
 
   /** Runs one measurement and prints it. */
   public static void main(String[] arguments) throws Exception {
-    Transport transport = Transport.named(arguments[0]);
+    Transport transport = Transport.fromName(arguments[0]);
     double rate = Double.parseDouble(arguments[1]);
     int calls = Integer.parseInt(arguments[2]);
     List<String> options = List.of(arguments).subList(3, arguments.length);
@@ -86,7 +86,7 @@
       caller =
           new EchoCaller(
               callerNode,
-              controllerNode.local(transport),
+              controllerNode.localHop(transport),
               rate,
               calls,
               !hold,
@@ -121,7 +121,7 @@
       return new FrontSettings(
           "x0.example",
           own,
-          own.by(Transport.TCP),
+          own.withTransport(Transport.TCP),
           new ClassTable(List.of("plain"), List.of("cove.0"), List.of(), 0),
           30_000,
           30,
--- a/net/src/main/java/coveladder/net/SocketNode.java
+++ b/net/src/main/java/coveladder/net/SocketNode.java
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public Timer after(double delayMillis, Runnable task) {
+  public Timer schedule(double delayMillis, Runnable task) {
     return loop.after(delayMillis, task)::cancel;
   }
 
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public Hop local(Transport transport) {
+  public Hop localHop(Transport transport) {
     return new Hop(transport, host, port);
   }
 
@@ -208,7 +208,7 @@
 
   private void notifyFailed(Hop hop, Failure failure) {
     if (node != null) {
-      node.failed(hop, failure);
+      node.connectionFailed(hop, failure);
     }
   }
 
--- a/net/src/test/java/coveladder/net/SocketNodeTest.java
+++ b/net/src/test/java/coveladder/net/SocketNodeTest.java
@@ -55,7 +55,7 @@
           }
 
           @Override
-          public void failed(Hop hop, Failure failure) {
+          public void connectionFailed(Hop hop, Failure failure) {
             events.add(failure + " " + hop.port());
           }
         });
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -197,15 +197,15 @@
     Transport toSwitch = number % 2 == 0 ? Transport.TCP : Transport.UDP;
     return new FrontSettings(
         domain(number),
-        world.place(switchName(number)).by(toSwitch),
-        world.place("list").by(Transport.TCP),
+        world.place(switchName(number)).withTransport(toSwitch),
+        world.place("list").withTransport(Transport.TCP),
         new ClassTable(names, priorities, List.of(), 0),
         3000,
         FleetPlan.ANSWER_MARGIN,
         100_000,
         1,
         plan.timing(),
-        SipStack.Limits.USUAL);
+        SipStack.Limits.DEFAULT);
   }
 
   // ---- What scripts do ----------------------------------------------------------------------
--- a/rehearsal/src/main/java/coveladder/rehearsal/OutsideView.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/OutsideView.java
@@ -45,7 +45,7 @@
   }
 
   private Tap.Entry mirrored(Tap.Entry entry, String controller) {
-    Hop peer = places.get(entry.node()).by(entry.peer().transport());
+    Hop peer = places.get(entry.node()).withTransport(entry.peer().transport());
     boolean sent = entry.kind() == Tap.Kind.SENT;
     double time = sent ? entry.time() : entry.arrived();
     Tap.Kind kind = sent ? Tap.Kind.READ : Tap.Kind.SENT;
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -49,7 +49,7 @@
 
   /** Has judged what crossed the wire of a fleet. */
   public static Verdict judge(List<Tap.Entry> entries, FleetPlan plan) {
-    double life = plan.timing().life();
+    double life = plan.timing().transactionTimeout();
     Checker.Figures figures =
         new Checker.Figures(FleetPlan.GUARD, FleetPlan.GRACE, SLACK, life, RESUMES);
     Set<String> controllers = new TreeSet<>();
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimDisk.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimDisk.java
@@ -72,7 +72,7 @@
     waiting.add(done);
     if (!syncing) {
       syncing = true;
-      host.after(least + (most - least) * random.nextDouble(), this::synced);
+      host.schedule(least + (most - least) * random.nextDouble(), this::synced);
     }
   }
 
@@ -112,7 +112,7 @@
   public void failing(boolean on) {
     failing = on;
     if (!on && broken && host != null) {
-      host.after(AGAIN, this::beginAnew);
+      host.schedule(AGAIN, this::beginAnew);
     }
   }
 
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimWorld.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimWorld.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public Timer after(double delay, Runnable task) {
+    public Timer schedule(double delay, Runnable task) {
       Frozen timer = new Frozen(this, task);
       timer.running = time.at(time.now() + delay, timer);
       return timer;
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public Hop local(Transport transport) {
+    public Hop localHop(Transport transport) {
       return new Hop(transport, host, PORT);
     }
 
@@ -112,7 +112,7 @@
     void failed(Hop hop, Failure failure) {
       if (reachable) {
         tap.failed(time.now(), name, hop, failure);
-        inner.failed(hop, failure);
+        inner.connectionFailed(hop, failure);
       }
     }
 
@@ -177,7 +177,7 @@
   public Hop place(String name) {
     Node node = byName.computeIfAbsent(name, n -> new Node(n, "10.0.0." + (byName.size() + 1)));
     byHost.put(node.host, node);
-    return node.local(Transport.UDP);
+    return node.localHop(Transport.UDP);
   }
 
   @Override
@@ -227,7 +227,7 @@
     }
     int copies = random.nextDouble() < conditions.lost() ? 0 : 1;
     copies += random.nextDouble() < conditions.repeated() ? 1 : 0;
-    Hop source = from.local(Transport.UDP);
+    Hop source = from.localHop(Transport.UDP);
     for (int i = 0; i < copies; i++) {
       double arrives = time.now() + way();
       time.at(arrives, () -> target.whenThawed(() -> target.read(source, message, arrives)));
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketWorld.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketWorld.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Timer after(double delay, Runnable task) {
+    public Timer schedule(double delay, Runnable task) {
       return loop.after(delay, task)::cancel;
     }
 
@@ -71,8 +71,8 @@
     }
 
     @Override
-    public Hop local(Transport transport) {
-      return socket.local(transport);
+    public Hop localHop(Transport transport) {
+      return socket.localHop(transport);
     }
 
     @Override
@@ -103,9 +103,9 @@
     }
 
     @Override
-    public void failed(Hop hop, Failure failure) {
+    public void connectionFailed(Hop hop, Failure failure) {
       tap.failed(now(), name, hop, failure);
-      inner.failed(hop, failure);
+      inner.connectionFailed(hop, failure);
     }
   }
 
@@ -113,7 +113,7 @@
 
   @Override
   public Hop place(String name) {
-    return node(name, null).local(Transport.UDP);
+    return node(name, null).localHop(Transport.UDP);
   }
 
   /** A node's address may be wanted before its crew is known: controllers are crews of one. */
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
@@ -44,7 +44,7 @@
     settings =
         new FrontSettings(
             "x0.example",
-            world.place("switch").by(toSwitch),
+            world.place("switch").withTransport(toSwitch),
             world.place("list"),
             new ClassTable(
                 List.of("a", "b", "c"), List.of("cove.0", "cove.1", "cove.2"), List.of(), 0),
@@ -53,7 +53,7 @@
             50,
             1,
             Timing.STANDARD,
-            SipStack.Limits.USUAL);
+            SipStack.Limits.DEFAULT);
     front = world.add("controller", "x", this::make);
     run(50);
     tellList();
@@ -108,14 +108,14 @@
   String invite(String callId, int seconds) {
     String text =
         "INVITE sip:5551234@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP "
-            + caller.host.local(Transport.UDP).host()
+            + caller.host.localHop(Transport.UDP).host()
             + ":5060;branch=z9hG4bK"
             + callId
             + "\r\nMax-Forwards: 70\r\nFrom: <sip:m@h>;tag=m\r\nTo: <sip:5551234@x1.example>\r\n"
             + "Call-ID: "
             + callId
             + "\r\nCSeq: 1 INVITE\r\nContact: <sip:"
-            + caller.host.local(Transport.UDP).host()
+            + caller.host.localHop(Transport.UDP).host()
             + ":5060>\r\nExpires: "
             + seconds
             + "\r\nSession-ID: s"
@@ -133,7 +133,7 @@
         place,
         method
             + " sip:5551234@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP "
-            + caller.host.local(Transport.UDP).host()
+            + caller.host.localHop(Transport.UDP).host()
             + ":5060;branch=z9hG4bK"
             + branch
             + "\r\nMax-Forwards: 70\r\nFrom: <sip:m@h>;tag=m\r\n"
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -80,7 +80,7 @@
     RawNode.Read attempt = tcp.attempts().get(0);
     tcp.world.resetConnections("switch");
     tcp.run(20);
-    RawNode.Read anew = new RawNode.Read(0, tcp.place.by(Transport.TCP), attempt.text());
+    RawNode.Read anew = new RawNode.Read(0, tcp.place.withTransport(Transport.TCP), attempt.text());
     tcp.ownSwitch.answer(anew, "200 OK", "far", "");
     tcp.run(50);
     assertEquals(1, tcp.ownSwitch.all("BYE").size());
@@ -224,7 +224,7 @@
     bed.caller.send(
         bed.place,
         "PRACK sip:x SIP/2.0\r\nVia: SIP/2.0/UDP "
-            + bed.caller.host.local(Transport.UDP).host()
+            + bed.caller.host.localHop(Transport.UDP).host()
             + ":5060;branch=z9hG4bKp\r\nFrom: <sip:m@h>;tag=m\r\nTo: <sip:5551234@x1.example>;tag="
             + bed.callerTag()
             + "\r\nCall-ID: c1\r\nCSeq: 2 PRACK\r\nRAck: 1 1 INVITE\r\n\r\n");
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -164,8 +164,8 @@
     }
 
     @Override
-    public Timer after(double delay, Runnable task) {
-      return host.after(delay, task);
+    public Timer schedule(double delay, Runnable task) {
+      return host.schedule(delay, task);
     }
 
     @Override
@@ -179,8 +179,8 @@
     }
 
     @Override
-    public Hop local(Transport transport) {
-      return host.local(transport);
+    public Hop localHop(Transport transport) {
+      return host.localHop(transport);
     }
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {
+  public void connectionFailed(Hop hop, Failure failure) {
     failures.add(failure);
   }
 
@@ -68,7 +68,7 @@
     out.append("From: ").append(request.field("From")).append("\r\nTo: ").append(to);
     out.append(tag.isEmpty() ? "" : ";tag=" + tag).append("\r\nCall-ID: ");
     out.append(request.field("Call-ID")).append("\r\nCSeq: ").append(request.field("CSeq"));
-    Hop own = host.local(Transport.UDP);
+    Hop own = host.localHop(Transport.UDP);
     out.append("\r\nContact: <sip:").append(own.host()).append(":5060>\r\n").append(more);
     send(request.from(), out.append("\r\n").toString());
   }
--- a/sip/src/main/java/coveladder/sip/SipElement.java
+++ b/sip/src/main/java/coveladder/sip/AbstractSipNode.java
@@ -3,17 +3,17 @@
 /**
  * A plain element with a stack: it takes no calls and answers OPTIONS, unless it says otherwise.
  */
-public abstract class SipElement implements SipNode, UserAgent.Owner {
+public abstract class AbstractSipNode implements SipNode, UserAgent.Owner {
   private final SipStack stack;
 
   /** Makes an element on a world. */
-  protected SipElement(SipHost host, Timing timing, SipStack.Limits limits) {
+  protected AbstractSipNode(SipHost host, Timing timing, SipStack.Limits limits) {
     stack = new SipStack(host, timing, limits, this);
   }
 
   /** Its user agent. */
-  protected final UserAgent agent() {
-    return stack.agent();
+  protected final UserAgent userAgent() {
+    return stack.userAgent();
   }
 
   @Override
@@ -25,8 +25,8 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {
-    stack.failed(hop, failure);
+  public void connectionFailed(Hop hop, Failure failure) {
+    stack.connectionFailed(hop, failure);
   }
 
   @Override
--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -168,9 +168,9 @@
     @Override
     public void response(SipResponse response) {
       listener.heard(CallLeg.this, response);
-      if (response.provisional()) {
+      if (response.isProvisional()) {
         provisional(response);
-      } else if (response.success()) {
+      } else if (response.isSuccess()) {
         success(response);
       } else if (outstanding()) {
         end();
@@ -247,7 +247,7 @@
 
   /** A response to the INVITE with this leg's tag and contact. */
   public SipResponse response(int status) {
-    return response(status, SipResponse.phrase(status));
+    return response(status, SipResponse.reasonPhrase(status));
   }
 
   /** The same with a reason phrase of one's own. */
@@ -257,7 +257,7 @@
       response.set("To", tagged(invite.header("To")));
     }
     if (status < 300 && status > 100) {
-      response.copy("Record-Route", invite);
+      response.copyHeaders("Record-Route", invite);
       response.add("Contact", agent.contact(server.source()));
     }
     return response;
@@ -297,7 +297,7 @@
       server.whenOver(this::settle);
       server.respond(response);
       repeat = agent.after(gap, this::repeatOk);
-      give = agent.after(agent.timing().life(), this::neverAcknowledged);
+      give = agent.after(agent.timing().transactionTimeout(), this::neverAcknowledged);
     }
   }
 
@@ -372,7 +372,7 @@
   private final class ByeAnswers implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
-      if (!response.provisional()) {
+      if (!response.isProvisional()) {
         released();
       }
     }
@@ -401,7 +401,7 @@
       return false;
     }
     SipRequest request = dialog.request(method);
-    EndToEnd.copy(like, request);
+    EndToEndHeaders.copy(like, request);
     if (rack != null) {
       request.add("RAck", rack);
     }
@@ -425,12 +425,12 @@
     @Override
     public void response(SipResponse response) {
       if (answered) {
-        if (response.success()) {
+        if (response.isSuccess()) {
           acknowledge();
         }
         return;
       }
-      if (response.success()) {
+      if (response.isSuccess()) {
         dialog.refresh(response);
         answered = true;
         ownAck = dialog.ack(sent.cseq().number());
@@ -440,7 +440,7 @@
           acknowledge();
         }
       }
-      ownReinvite &= response.provisional();
+      ownReinvite &= response.isProvisional();
       answers.response(response);
     }
 
@@ -500,9 +500,9 @@
 
   /** Answers a re-INVITE that {@link CallListener#request} brought. */
   public void answerReinvite(ServerTransaction transaction, SipResponse response) {
-    if (!response.provisional()) {
+    if (!response.isProvisional()) {
       theirReinvite = false;
-      if (response.success()) {
+      if (response.isSuccess()) {
         new ReinviteOk(transaction, response).send();
       }
     }
@@ -528,7 +528,9 @@
 
     private void again() {
       spent += pause;
-      if (reinviteOk == this && state == State.CONFIRMED && spent < agent.timing().life()) {
+      if (reinviteOk == this
+          && state == State.CONFIRMED
+          && spent < agent.timing().transactionTimeout()) {
         transaction.respond(response);
         pause = Math.min(2 * pause, agent.timing().t2());
         agent.after(pause, this::again);
--- a/sip/src/main/java/coveladder/sip/ClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ClientTransaction.java
@@ -110,7 +110,7 @@
   /** Goes by TCP as the request is too large for a datagram; it may fall back to UDP. */
   void enlarge() {
     enlarged = true;
-    moveTo(hop.by(Transport.TCP));
+    moveTo(hop.withTransport(Transport.TCP));
   }
 
   /**
@@ -123,14 +123,14 @@
     }
     enlarged = false;
     layer.unlink(this);
-    moveTo(hop.by(Transport.UDP));
+    moveTo(hop.withTransport(Transport.UDP));
     start();
     return true;
   }
 
   private void moveTo(Hop other) {
     Via via = request.via();
-    Hop local = layer.host().local(other.transport());
+    Hop local = layer.host().localHop(other.transport());
     String named = other.transport().name();
     request.topVia(new Via(named, local.host(), local.port(), via.params()));
     hop = other;
@@ -138,11 +138,11 @@
   }
 
   boolean reliable() {
-    return hop.transport().reliable();
+    return hop.transport().isReliable();
   }
 
   SipHost.Timer after(double delay, Runnable task) {
-    return layer.host().after(delay, task);
+    return layer.host().schedule(delay, task);
   }
 
   void tell(SipResponse response) {
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -62,7 +62,7 @@
   }
 
   private static String contactOf(SipMessage message, String absent) {
-    NameAddr address = message.address("Contact");
+    NameAddr address = message.addressHeader("Contact");
     return address == null ? absent : address.uri();
   }
 
--- a/sip/src/main/java/coveladder/sip/EndToEnd.java
+++ b/sip/src/main/java/coveladder/sip/EndToEndHeaders.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** Which fields a back-to-back user agent carries from one leg to the other. */
-public final class EndToEnd {
+public final class EndToEndHeaders {
   private static final Set<String> OWN =
       Set.of(
           "Via",
@@ -20,7 +20,7 @@
           "RAck",
           "Proxy-Require");
 
-  private EndToEnd() {}
+  private EndToEndHeaders() {}
 
   /**
    * Copies the body and all fields that are not of the leg itself: unknown ones, credentials and
@@ -30,11 +30,11 @@
     if (from == null) {
       return;
     }
-    int before = to.size();
-    for (int i = 0; i < from.size(); i++) {
-      String name = from.name(i);
+    int before = to.headerCount();
+    for (int i = 0; i < from.headerCount(); i++) {
+      String name = from.headerName(i);
       if (!OWN.contains(name) && !isIn(to, name, before)) {
-        to.add(name, from.value(i));
+        to.add(name, from.headerValue(i));
       }
     }
     to.body(from.body());
@@ -42,7 +42,7 @@
 
   private static boolean isIn(SipMessage message, String name, int among) {
     for (int i = 0; i < among; i++) {
-      if (message.name(i).equalsIgnoreCase(name)) {
+      if (message.headerName(i).equalsIgnoreCase(name)) {
         return true;
       }
     }
--- a/sip/src/main/java/coveladder/sip/Hop.java
+++ b/sip/src/main/java/coveladder/sip/Hop.java
@@ -10,7 +10,7 @@
 public record Hop(Transport transport, String host, int port) {
 
   /** The same place by another transport, as for a request too large for a datagram. */
-  public Hop by(Transport other) {
+  public Hop withTransport(Transport other) {
     return new Hop(other, host, port);
   }
 
--- a/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
@@ -34,7 +34,7 @@
     if (!reliable()) {
       timerA = after(gap, this::repeat);
     }
-    timerB = after(timing.life(), this::timeOut);
+    timerB = after(timing.transactionTimeout(), this::timeOut);
   }
 
   /**
@@ -87,7 +87,7 @@
         }
       }
       case ACCEPTED -> {
-        if (response.success()) {
+        if (response.isSuccess()) {
           tell(response);
         }
       }
@@ -97,7 +97,7 @@
 
   private void first(SipResponse response) {
     stop(timerA);
-    if (response.provisional()) {
+    if (response.isProvisional()) {
       if (state == State.CALLING) {
         state = State.PROCEEDING;
         stop(timerB);
@@ -105,16 +105,16 @@
           sendCancel();
         }
       }
-    } else if (response.success()) {
+    } else if (response.isSuccess()) {
       state = State.ACCEPTED;
       stop(timerB);
-      after(timing.life(), this::finish);
+      after(timing.transactionTimeout(), this::finish);
     } else {
       state = State.COMPLETED;
       stop(timerB);
       ack = ackTo(response);
       layer.host().send(hop(), ack.toBytes());
-      after(reliable() ? 0 : timing.life(), this::finish);
+      after(reliable() ? 0 : timing.transactionTimeout(), this::finish);
     }
     tell(response);
   }
@@ -141,7 +141,7 @@
       cancel.add("Reason", cancelReason);
     }
     layer.sendCancel(cancel, hop(), new CancelAnswers());
-    timerB = after(timing.life(), this::timeOut);
+    timerB = after(timing.transactionTimeout(), this::timeOut);
   }
 
   /** The ACK to a final answer other than 2xx (RFC 3261 section 17.1.1.3). */
@@ -156,10 +156,10 @@
     SipRequest made = new SipRequest(method, invite.uri());
     made.add("Via", invite.via().toString());
     made.add("Max-Forwards", "70");
-    made.copy("Route", invite);
-    made.copy("From", invite);
-    made.copy("To", invite);
-    made.copy("Call-ID", invite);
+    made.copyHeaders("Route", invite);
+    made.copyHeaders("From", invite);
+    made.copyHeaders("To", invite);
+    made.copyHeaders("Call-ID", invite);
     made.add("CSeq", new CSeq(invite.cseq().number(), method).toString());
     return made;
   }
--- a/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
@@ -37,7 +37,7 @@
   /** Its 2xx was sent and acknowledged before a restart: repeats of it are absorbed. */
   void takeAsAccepted() {
     state = State.ACCEPTED;
-    after(timing.life(), this::finish);
+    after(timing.transactionTimeout(), this::finish);
   }
 
   /** Ends without any answer: the caller had one, or has left. */
@@ -59,17 +59,17 @@
     if (state == State.PROCEEDING) {
       provisionalSent = true;
       trying.cancel();
-      if (response.success()) {
+      if (response.isSuccess()) {
         state = State.ACCEPTED;
-        after(timing.life(), this::finish);
-      } else if (!response.provisional()) {
+        after(timing.transactionTimeout(), this::finish);
+      } else if (!response.isProvisional()) {
         state = State.COMPLETED;
         gap = timing.t1();
         timerG = reliable() ? null : after(gap, this::repeat);
-        timerH = after(timing.life(), this::finish);
+        timerH = after(timing.transactionTimeout(), this::finish);
       }
       transmit(response);
-    } else if (state == State.ACCEPTED && response.success()) {
+    } else if (state == State.ACCEPTED && response.isSuccess()) {
       transmit(response);
     }
   }
--- a/sip/src/main/java/coveladder/sip/MessageCheck.java
+++ b/sip/src/main/java/coveladder/sip/MessageCheck.java
@@ -32,7 +32,7 @@
 
   private static String fields(SipMessage message) {
     for (String name : ONCE) {
-      if (message.count(name) > 1) {
+      if (message.headerLineCount(name) > 1) {
         return name + " more than once";
       }
     }
--- a/sip/src/main/java/coveladder/sip/NameAddr.java
+++ b/sip/src/main/java/coveladder/sip/NameAddr.java
@@ -4,11 +4,11 @@
  * An address with its parameters, as in From, To, Contact, Route and Record-Route (RFC 3261 section
  * 20).
  *
- * @param display the display name as written, quotes kept; empty if none
+ * @param displayName the display name as written, quotes kept; empty if none
  * @param uri the URI as written
  * @param params the header parameters, the tag among them
  */
-public record NameAddr(String display, String uri, Params params) {
+public record NameAddr(String displayName, String uri, Params params) {
 
   /** Reads an address; null where it is none. */
   public static NameAddr parse(String text) {
@@ -77,8 +77,8 @@
 
   @Override
   public String toString() {
-    StringBuilder out = new StringBuilder(display);
-    if (!display.isEmpty()) {
+    StringBuilder out = new StringBuilder(displayName);
+    if (!displayName.isEmpty()) {
       out.append(' ');
     }
     out.append('<').append(uri).append('>');
--- a/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
@@ -28,7 +28,7 @@
     if (!reliable()) {
       timerE = after(gap, this::repeat);
     }
-    timerF = after(timing.life(), this::timeOut);
+    timerF = after(timing.transactionTimeout(), this::timeOut);
   }
 
   private void repeat() {
@@ -44,7 +44,7 @@
     if (state != State.TRYING && state != State.PROCEEDING) {
       return;
     }
-    if (response.provisional()) {
+    if (response.isProvisional()) {
       state = State.PROCEEDING;
     } else {
       state = State.COMPLETED;
--- a/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
@@ -16,16 +16,16 @@
   NonInviteServerTransaction(
       TransactionLayer layer, SipRequest request, Hop source, double arrived) {
     super(layer, request, source, arrived);
-    after(timing.life(), this::abandon);
+    after(timing.transactionTimeout(), this::abandon);
   }
 
   @Override
   public void respond(SipResponse response) {
     if (state == State.TRYING || state == State.PROCEEDING) {
-      state = response.provisional() ? State.PROCEEDING : State.COMPLETED;
+      state = response.isProvisional() ? State.PROCEEDING : State.COMPLETED;
       transmit(response);
       if (state == State.COMPLETED) {
-        after(reliable() ? 0 : timing.life(), this::finish);
+        after(reliable() ? 0 : timing.transactionTimeout(), this::finish);
       }
     }
   }
--- a/sip/src/main/java/coveladder/sip/Notifier.java
+++ b/sip/src/main/java/coveladder/sip/Notifier.java
@@ -93,7 +93,7 @@
     String to = request.header("To") + ";tag=" + agent.newTag();
     String contact = agent.contact(transaction.source());
     Dialog dialog = Dialog.ofCallee(request, to, contact);
-    Subscription made = new Subscription(dialog, request.address("From").uri());
+    Subscription made = new Subscription(dialog, request.addressHeader("From").uri());
     held.put(request.callId(), made);
     return answer(transaction, request, made, to);
   }
@@ -104,7 +104,7 @@
 
   private Subscription answer(
       ServerTransaction transaction, SipRequest request, Subscription subscription, String to) {
-    long seconds = Math.min(LONGEST, request.number("Expires", LONGEST));
+    long seconds = Math.min(LONGEST, request.numericHeader("Expires", LONGEST));
     subscription.until = host.now() + seconds * 1000.0;
     SipResponse response = request.response(200);
     response.set("To", to);
--- a/sip/src/main/java/coveladder/sip/Relay.java
+++ b/sip/src/main/java/coveladder/sip/RequestRelay.java
@@ -3,13 +3,13 @@
 import java.util.function.Consumer;
 
 /** Carries a request within a dialog from one leg of a call to the other, and its answers back. */
-public final class Relay implements ClientTransaction.Listener {
+public final class RequestRelay implements ClientTransaction.Listener {
   private final CallLeg from;
   private final ServerTransaction transaction;
   private final SipRequest request;
   private final Consumer<SipResponse> agreed;
 
-  private Relay(
+  private RequestRelay(
       CallLeg from,
       ServerTransaction transaction,
       SipRequest request,
@@ -28,14 +28,14 @@
    * @param rack value of RAck on the other leg, or null
    * @param agreed told of each 2xx that refreshes the session
    */
-  public static void carry(
+  public static void forward(
       CallLeg from,
       CallLeg to,
       ServerTransaction transaction,
       SipRequest request,
       String rack,
       Consumer<SipResponse> agreed) {
-    Relay relay = new Relay(from, transaction, request, agreed);
+    RequestRelay relay = new RequestRelay(from, transaction, request, agreed);
     if (to == null || !to.send(request.method(), request, rack, relay)) {
       relay.answer(request.response(request.is("INVITE") ? 491 : 481));
     }
@@ -46,9 +46,9 @@
     if (response.status() == 100) {
       return;
     }
-    SipResponse told = request.response(response.status(), response.phrase());
-    EndToEnd.copy(response, told);
-    if (response.success() && (request.is("INVITE") || request.is("UPDATE"))) {
+    SipResponse told = request.response(response.status(), response.reasonPhrase());
+    EndToEndHeaders.copy(response, told);
+    if (response.isSuccess() && (request.is("INVITE") || request.is("UPDATE"))) {
       told.add("Contact", from.contact());
       agreed.accept(response);
     }
--- a/sip/src/main/java/coveladder/sip/ServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ServerTransaction.java
@@ -19,7 +19,7 @@
     this.source = source;
     this.arrived = arrived;
     Transport transport = source.transport();
-    this.hop = transport.reliable() ? source : request.via().responseHop(transport);
+    this.hop = transport.isReliable() ? source : request.via().responseHop(transport);
   }
 
   /** The request. */
@@ -61,7 +61,7 @@
   abstract void repeated();
 
   boolean reliable() {
-    return hop.transport().reliable();
+    return hop.transport().isReliable();
   }
 
   void transmit(SipResponse response) {
@@ -93,6 +93,6 @@
   }
 
   SipHost.Timer after(double delay, Runnable task) {
-    return layer.host().after(delay, task);
+    return layer.host().schedule(delay, task);
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipHost.java
+++ b/sip/src/main/java/coveladder/sip/SipHost.java
@@ -12,7 +12,7 @@
   double now();
 
   /** Runs the task once after a delay in milliseconds, never within this call. */
-  Timer after(double delay, Runnable task);
+  Timer schedule(double delay, Runnable task);
 
   /** The source of branches, tags and Call-IDs. */
   RandomGenerator random();
@@ -21,7 +21,7 @@
   void send(Hop to, byte[] message);
 
   /** Own address as written into Via and Contact. */
-  Hop local(Transport transport);
+  Hop localHop(Transport transport);
 
   /** A timer that is running. */
   interface Timer {
--- a/sip/src/main/java/coveladder/sip/SipMessage.java
+++ b/sip/src/main/java/coveladder/sip/SipMessage.java
@@ -25,17 +25,17 @@
   public abstract String startLine();
 
   /** Number of header fields. */
-  public int size() {
+  public int headerCount() {
     return names.size();
   }
 
   /** Name of the field at a place. */
-  public String name(int at) {
+  public String headerName(int at) {
     return names.get(at);
   }
 
   /** Value of the field at a place. */
-  public String value(int at) {
+  public String headerValue(int at) {
     return values.get(at);
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** How many lines bear this name. */
-  public int count(String name) {
+  public int headerLineCount(String name) {
     int count = 0;
     for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
       count++;
@@ -128,7 +128,7 @@
   }
 
   /** Takes the first value of a field away, whether it shares its line or not; returns it. */
-  public String removeFirst(String name) {
+  public String removeFirstValue(String name) {
     changed();
     int at = find(name, 0);
     if (at < 0) {
@@ -155,7 +155,7 @@
   }
 
   /** Copies all fields of that name from another message, behind those held. */
-  public void copy(String name, SipMessage other) {
+  public void copyHeaders(String name, SipMessage other) {
     changed();
     for (int i = other.find(name, 0); i >= 0; i = other.find(name, i + 1)) {
       names.add(other.names.get(i));
@@ -203,7 +203,7 @@
   }
 
   /** An address; null if it is missing or cannot be read. */
-  public NameAddr address(String name) {
+  public NameAddr addressHeader(String name) {
     String line = header(name);
     return line == null ? null : NameAddr.parse(line);
   }
@@ -216,7 +216,7 @@
   /** The From address; null if it is missing or cannot be read. */
   public NameAddr from() {
     if (from == null) {
-      from = address("From");
+      from = addressHeader("From");
     }
     return from;
   }
@@ -224,7 +224,7 @@
   /** The To address; null if it is missing or cannot be read. */
   public NameAddr to() {
     if (to == null) {
-      to = address("To");
+      to = addressHeader("To");
     }
     return to;
   }
@@ -242,7 +242,7 @@
   }
 
   /** A whole number in a field, or another where it is missing or none. */
-  public long number(String name, long absent) {
+  public long numericHeader(String name, long absent) {
     String line = header(name);
     if (line == null) {
       return absent;
--- a/sip/src/main/java/coveladder/sip/SipNode.java
+++ b/sip/src/main/java/coveladder/sip/SipNode.java
@@ -15,5 +15,5 @@
   void receive(Hop from, byte[] message, double arrived);
 
   /** A connection could not be made, or broke. */
-  void failed(Hop hop, Failure failure);
+  void connectionFailed(Hop hop, Failure failure);
 }
--- a/sip/src/main/java/coveladder/sip/SipRequest.java
+++ b/sip/src/main/java/coveladder/sip/SipRequest.java
@@ -28,17 +28,17 @@
 
   /** Makes a response with the fields that every response repeats (RFC 3261 section 8.2.6). */
   public SipResponse response(int status) {
-    return response(status, SipResponse.phrase(status));
+    return response(status, SipResponse.reasonPhrase(status));
   }
 
   /** Makes a response with a reason phrase of one's own. */
   public SipResponse response(int status, String phrase) {
     SipResponse response = new SipResponse(status, phrase);
-    response.copy("Via", this);
-    response.copy("From", this);
-    response.copy("To", this);
-    response.copy("Call-ID", this);
-    response.copy("CSeq", this);
+    response.copyHeaders("Via", this);
+    response.copyHeaders("From", this);
+    response.copyHeaders("To", this);
+    response.copyHeaders("Call-ID", this);
+    response.copyHeaders("CSeq", this);
     return response;
   }
 
--- a/sip/src/main/java/coveladder/sip/SipResponse.java
+++ b/sip/src/main/java/coveladder/sip/SipResponse.java
@@ -38,16 +38,16 @@
           Map.entry(513, "Message Too Large"));
 
   private final int status;
-  private final String phrase;
+  private final String reasonPhrase;
 
   /** Makes a response without fields. */
   public SipResponse(int status, String phrase) {
     this.status = status;
-    this.phrase = phrase;
+    this.reasonPhrase = phrase;
   }
 
   /** The usual phrase of a status. */
-  public static String phrase(int status) {
+  public static String reasonPhrase(int status) {
     return PHRASES.getOrDefault(status, "Unknown");
   }
 
@@ -57,22 +57,22 @@
   }
 
   /** The reason phrase, which may be empty. */
-  public String phrase() {
-    return phrase;
+  public String reasonPhrase() {
+    return reasonPhrase;
   }
 
   /** Whether more will follow. */
-  public boolean provisional() {
+  public boolean isProvisional() {
     return status < 200;
   }
 
   /** Whether it is a 2xx. */
-  public boolean success() {
+  public boolean isSuccess() {
     return status >= 200 && status < 300;
   }
 
   @Override
   public String startLine() {
-    return "SIP/2.0 " + status + " " + phrase;
+    return "SIP/2.0 " + status + " " + reasonPhrase;
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipStack.java
+++ b/sip/src/main/java/coveladder/sip/SipStack.java
@@ -7,8 +7,8 @@
 public final class SipStack {
   private final SipHost host;
   private final SipParser parser;
-  private final UserAgent agent;
-  private long unreadable;
+  private final UserAgent userAgent;
+  private long malformedMessages;
 
   /**
    * Makes a stack.
@@ -17,29 +17,29 @@
    */
   public SipStack(SipHost host, Timing timing, Limits limits, UserAgent.Owner owner) {
     this.host = host;
-    this.parser = new SipParser(limits.headers());
-    this.agent = new UserAgent(host, timing, limits.transactions(), owner);
+    this.parser = new SipParser(limits.maxHeaderLines());
+    this.userAgent = new UserAgent(host, timing, limits.maxServerTransactions(), owner);
   }
 
   /**
    * Bounds of a stack.
    *
-   * @param headers most header lines of a message
-   * @param transactions most server transactions at a time
+   * @param maxHeaderLines most header lines of a message
+   * @param maxServerTransactions most server transactions at a time
    */
-  public record Limits(int headers, int transactions) {
+  public record Limits(int maxHeaderLines, int maxServerTransactions) {
     /** Bounds that a large controller can live with. */
-    public static final Limits USUAL = new Limits(128, 400_000);
+    public static final Limits DEFAULT = new Limits(128, 400_000);
   }
 
   /** The user agent. */
-  public UserAgent agent() {
-    return agent;
+  public UserAgent userAgent() {
+    return userAgent;
   }
 
   /** Messages that could not be read so far. */
-  public long unreadable() {
-    return unreadable;
+  public long malformedMessages() {
+    return malformedMessages;
   }
 
   /** Takes one datagram, or one message cut from a stream, that has only now arrived. */
@@ -57,11 +57,11 @@
       return;
     }
     try {
-      agent.layer().receive(from, parser.parse(message), arrived);
+      userAgent.layer().receive(from, parser.parse(message), arrived);
     } catch (SipParseException e) {
-      unreadable++;
+      malformedMessages++;
       if (e.answerable() != null) {
-        agent.layer().refuseUnread(from, e.answerable(), e.status(), e.getMessage());
+        userAgent.layer().refuseUnread(from, e.answerable(), e.status(), e.getMessage());
       }
     }
   }
@@ -76,7 +76,7 @@
   }
 
   /** A connection could not be made, or broke. */
-  public void failed(Hop hop, Failure failure) {
-    agent.layer().failed(hop, failure);
+  public void connectionFailed(Hop hop, Failure failure) {
+    userAgent.layer().failed(hop, failure);
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipUri.java
+++ b/sip/src/main/java/coveladder/sip/SipUri.java
@@ -39,7 +39,7 @@
   /** Where requests to this URI go when no Route says otherwise; UDP unless it names another. */
   public Hop hop() {
     String named = params.get("transport");
-    Transport transport = named == null ? Transport.UDP : Transport.named(named);
+    Transport transport = named == null ? Transport.UDP : Transport.fromName(named);
     return transport == null ? null : new Hop(transport, host, port == 0 ? 5060 : port);
   }
 
--- a/sip/src/main/java/coveladder/sip/StreamFramer.java
+++ b/sip/src/main/java/coveladder/sip/StreamFramer.java
@@ -50,7 +50,7 @@
   }
 
   /** Octets waiting for the rest of their message. */
-  public int waiting() {
+  public int bufferedBytes() {
     return held;
   }
 
--- a/sip/src/main/java/coveladder/sip/Subscriber.java
+++ b/sip/src/main/java/coveladder/sip/Subscriber.java
@@ -101,13 +101,13 @@
 
     @Override
     public void response(SipResponse response) {
-      if (!asked.equals(callId) || stopped || response.provisional()) {
+      if (!asked.equals(callId) || stopped || response.isProvisional()) {
         return;
       }
-      if (response.success()) {
+      if (response.isSuccess()) {
         to = response.header("To");
         pause = FIRST_PAUSE;
-        double seconds = Math.max(1, response.number("Expires", SECONDS));
+        double seconds = Math.max(1, response.numericHeader("Expires", SECONDS));
         again(seconds * 800, () -> ask(SECONDS));
       } else {
         lose("answered " + response.status());
@@ -131,7 +131,7 @@
 
   private void again(double delay, Runnable task) {
     ClientTransaction.stop(refresh);
-    refresh = host.after(delay, task);
+    refresh = host.schedule(delay, task);
   }
 
   /** Takes a NOTIFY if it is of this subscription, and answers it; whether it was. */
--- a/sip/src/main/java/coveladder/sip/Timing.java
+++ b/sip/src/main/java/coveladder/sip/Timing.java
@@ -19,7 +19,7 @@
   }
 
   /** 64*T1: timers B, D, F, H, J, L and M. */
-  public double life() {
+  public double transactionTimeout() {
     return 64 * t1;
   }
 }
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -166,13 +166,13 @@
 
   private void hold(String key, ServerTransaction made) {
     servers.put(key, made);
-    if (made.source().transport().reliable()) {
+    if (made.source().transport().isReliable()) {
       serversByConnection.computeIfAbsent(made.source(), h -> new LinkedHashSet<>()).add(made);
     }
   }
 
   private Via via(Transport transport, String branch) {
-    Hop local = host.local(transport);
+    Hop local = host.localHop(transport);
     Params params = new Params().set("branch", branch).set("rport", "");
     if (overloadControl) {
       params.set("oc", "").set("oc-algo", "\"loss,rate\"");
@@ -182,7 +182,9 @@
 
   private String nextBranch() {
     branches++;
-    return Via.COOKIE + Long.toHexString(host.random().nextLong()) + Long.toHexString(branches);
+    return Via.MAGIC_COOKIE
+        + Long.toHexString(host.random().nextLong())
+        + Long.toHexString(branches);
   }
 
   void over(ClientTransaction transaction) {
@@ -221,8 +223,8 @@
 
   private void response(SipResponse response) {
     Via via = response.via();
-    Transport by = Transport.named(via.transport());
-    if (by == null || !isOwn(via, host.local(by))) {
+    Transport by = Transport.fromName(via.transport());
+    if (by == null || !isOwn(via, host.localHop(by))) {
       return;
     }
     ClientTransaction client = clients.get(via.branch() + ' ' + response.cseq().method());
@@ -230,7 +232,7 @@
       if (belongs(client.request(), response)) {
         client.receive(response);
       }
-    } else if (response.success() && response.cseq().method().equals("INVITE")) {
+    } else if (response.isSuccess() && response.cseq().method().equals("INVITE")) {
       user.stray(response);
     }
   }
@@ -311,20 +313,20 @@
     SipResponse busy = request.response(503);
     busy.add("Retry-After", "1");
     Transport by = from.transport();
-    host.send(by.reliable() ? from : request.via().responseHop(by), busy.toBytes());
+    host.send(by.isReliable() ? from : request.via().responseHop(by), busy.toBytes());
   }
 
   /** Answers a request that could not be read whole, without a transaction. */
   public void refuseUnread(Hop from, SipRequest request, int status, String phrase) {
     Transport by = from.transport();
-    Hop to = by.reliable() ? from : request.via().responseHop(by);
+    Hop to = by.isReliable() ? from : request.via().responseHop(by);
     host.send(to, request.response(status, phrase).toBytes());
   }
 
   /** Key of a server transaction (RFC 3261 section 17.2.3), also without a unique branch. */
   private static String serverKey(SipRequest request, String method) {
     Via via = request.via();
-    if (via.hasUniqueBranch()) {
+    if (via.hasRfc3261Branch()) {
       return via.branch() + ' ' + via.host() + ':' + via.portOrDefault() + ' ' + method;
     }
     return request.uri()
--- a/sip/src/main/java/coveladder/sip/Transport.java
+++ b/sip/src/main/java/coveladder/sip/Transport.java
@@ -10,12 +10,12 @@
   TCP;
 
   /** Whether messages are neither lost nor reordered, so that no request is repeated. */
-  public boolean reliable() {
+  public boolean isReliable() {
     return this == TCP;
   }
 
   /** Reads the name as Via and URIs write it, in any case; null where it is none of ours. */
-  public static Transport named(String text) {
+  public static Transport fromName(String text) {
     for (Transport transport : values()) {
       if (transport.name().equals(text.toUpperCase(Locale.ROOT))) {
         return transport;
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -66,7 +66,7 @@
   }
 
   SipHost.Timer after(double delay, Runnable task) {
-    return host.after(delay, task);
+    return host.schedule(delay, task);
   }
 
   /** A tag or Call-ID that no other has. */
@@ -77,7 +77,7 @@
 
   /** Own Contact toward a peer, by the transport that it uses. */
   public String contact(Hop peer) {
-    Hop local = host.local(peer.transport());
+    Hop local = host.localHop(peer.transport());
     String by = peer.transport() == Transport.TCP ? ";transport=tcp" : "";
     return "<sip:" + local.host() + ':' + local.port() + by + '>';
   }
@@ -96,7 +96,7 @@
   /** Makes a call ready, with all its names, without sending anything yet. */
   public CallLeg prepare(SipRequest invite, Hop hop, CallListener listener) {
     invite.set("From", invite.header("From") + ";tag=" + newTag());
-    fill(invite, newTag() + "@" + host.local(hop.transport()).host(), hop);
+    fill(invite, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
     CallLeg leg = new CallLeg(this, invite, listener);
     leg.prepare(hop);
     return leg;
@@ -119,7 +119,7 @@
       request.set("From", request.header("From") + ";tag=" + newTag());
     }
     if (request.callId() == null) {
-      fill(request, newTag() + "@" + host.local(hop.transport()).host(), hop);
+      fill(request, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
     }
     layer.send(request, hop, answers);
   }
@@ -216,10 +216,10 @@
 
     @Override
     public void response(SipResponse response) {
-      if (response.success() && !released) {
+      if (response.isSuccess() && !released) {
         released = true;
         release(invite, response, over);
-      } else if (!response.provisional() && !released) {
+      } else if (!response.isProvisional() && !released) {
         over.run();
       }
     }
@@ -294,7 +294,7 @@
 
     @Override
     public void response(SipResponse response) {
-      if (response.provisional()) {
+      if (response.isProvisional()) {
         return;
       }
       acknowledge.run();
@@ -343,7 +343,7 @@
     if (SipUri.parse(request.uri()) == null) {
       return request.response(416);
     }
-    if (request.number("Max-Forwards", 70) == 0 && request.toTag() == null) {
+    if (request.numericHeader("Max-Forwards", 70) == 0 && request.toTag() == null) {
       return request.response(483);
     }
     String required = request.header("Proxy-Require");
@@ -432,15 +432,15 @@
   @Override
   public void stray(SipResponse response) {
     SipRequest invite = new SipRequest("INVITE", "sip:unknown.invalid");
-    invite.copy("From", response);
-    invite.copy("Call-ID", response);
-    invite.copy("CSeq", response);
+    invite.copyHeaders("From", response);
+    invite.copyHeaders("Call-ID", response);
+    invite.copyHeaders("CSeq", response);
     CallLeg leg = find(Dialog.key(response.callId(), response.fromTag(), response.toTag()));
     boolean standing = leg != null && leg.state() == CallLeg.State.CONFIRMED;
     if (standing) {
       leg.strayOk(response);
     }
-    if (!standing && response.address("Contact") != null && response.toTag() != null) {
+    if (!standing && response.addressHeader("Contact") != null && response.toTag() != null) {
       release(invite, response, () -> {});
     }
   }
--- a/sip/src/main/java/coveladder/sip/Via.java
+++ b/sip/src/main/java/coveladder/sip/Via.java
@@ -10,7 +10,7 @@
  */
 public record Via(String transport, String host, int port, Params params) {
   /** What every branch of RFC 3261 begins with. */
-  public static final String COOKIE = "z9hG4bK";
+  public static final String MAGIC_COOKIE = "z9hG4bK";
 
   /** Reads one Via value; null where it is none. */
   public static Via parse(String text) {
@@ -41,9 +41,11 @@
   }
 
   /** Whether the branch is one of RFC 3261, with more behind the cookie. */
-  public boolean hasUniqueBranch() {
+  public boolean hasRfc3261Branch() {
     String branch = branch();
-    return branch != null && branch.length() > COOKIE.length() && branch.startsWith(COOKIE);
+    return branch != null
+        && branch.length() > MAGIC_COOKIE.length()
+        && branch.startsWith(MAGIC_COOKIE);
   }
 
   /** The port that is meant where none is written. */
--- a/sip/src/test/java/coveladder/sip/FakeNet.java
+++ b/sip/src/test/java/coveladder/sip/FakeNet.java
@@ -123,7 +123,7 @@
       SipRequest invite = new SipRequest("INVITE", "sip:x@" + other);
       invite.add("From", "<sip:me@" + name + ">");
       invite.add("To", "<sip:x@" + other + ">");
-      return stack.agent().call(invite, new Hop(by, other, 5060), listener);
+      return stack.userAgent().call(invite, new Hop(by, other, 5060), listener);
     }
 
     @Override
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public Timer after(double delay, Runnable task) {
+    public Timer schedule(double delay, Runnable task) {
       return at(delay, task);
     }
 
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public Hop local(Transport transport) {
+    public Hop localHop(Transport transport) {
       return new Hop(transport, name, 5060);
     }
 
--- a/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
+++ b/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
@@ -70,6 +70,6 @@
     box.stack.receive(
         new Hop(Transport.UDP, "a", 5060), text.getBytes(StandardCharsets.ISO_8859_1));
     net.run(100_000);
-    assertEquals(0, box.stack.agent().layer().size());
+    assertEquals(0, box.stack.userAgent().layer().size());
   }
 }
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -50,7 +50,7 @@
   void aCallerGoesOnAndReleases() {
     Dialog.Progress kept = standing().progress();
     FakeNet.Box again = restart("a");
-    CallLeg leg = again.stack.agent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+    CallLeg leg = again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     leg.bye(null);
     net.run(100);
     assertEquals(List.of("acknowledged", "ended"), b.events);
@@ -60,7 +60,7 @@
   void aCallerGoesOnAndIsReleased() {
     Dialog.Progress kept = standing().progress();
     FakeNet.Box again = restart("a");
-    again.stack.agent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+    again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     b.calls.get(0).bye(null);
     net.run(100);
     assertEquals(List.of("ended"), again.events);
@@ -71,7 +71,7 @@
     net.loses = s -> s.text().startsWith("ACK") && s.at() < 100;
     Dialog.Progress kept = standing().progress();
     FakeNet.Box again = restart("a");
-    again.stack.agent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+    again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     net.run(2_000);
     assertEquals(List.of("acknowledged"), b.events);
     assertEquals(0, net.from("a", "BYE").size());
@@ -88,7 +88,7 @@
     net.loses = s -> false;
     again
         .stack
-        .agent()
+        .userAgent()
         .resumeCallee(
             (SipRequest) parse(received("INVITE")), TO_A, ok(), false, kept, again.listener);
     net.run(2_000);
@@ -111,7 +111,7 @@
     CallLeg leg =
         again
             .stack
-            .agent()
+            .userAgent()
             .resumeCallee(
                 (SipRequest) parse(received("INVITE")), TO_A, ok(), true, kept, again.listener);
     net.run(200_000);
@@ -133,7 +133,7 @@
     CallLeg leg =
         again
             .stack
-            .agent()
+            .userAgent()
             .resumeUnanswered((SipRequest) parse(received("INVITE")), TO_A, "kept", again.listener);
     net.run(600);
     assertEquals(0, again.calls.size());
@@ -148,7 +148,7 @@
   private FakeNet.Box calledOff() {
     SipRequest invite = invite();
     FakeNet.Box again = restart("a");
-    again.stack.agent().callOff(invite, TO_B, () -> ends++);
+    again.stack.userAgent().callOff(invite, TO_B, () -> ends++);
     return again;
   }
 
--- a/sip/src/test/java/coveladder/sip/SipParserTest.java
+++ b/sip/src/test/java/coveladder/sip/SipParserTest.java
@@ -56,7 +56,7 @@
                 + "Via: SIP/2.0/UDP first, SIP/2.0/UDP second\r\n\r\n");
     assertEquals(
         List.of("<sip:a;lr>", "\"x, y\" <sip:b,c;lr>", "<sip:d;lr>"), message.headers("Route"));
-    assertEquals("<sip:a;lr>", message.removeFirst("Route"));
+    assertEquals("<sip:a;lr>", message.removeFirstValue("Route"));
     assertEquals(2, message.headers("Route").size());
     assertEquals(3, message.headers("Via").size());
   }
--- a/sip/src/test/java/coveladder/sip/StreamFramerTest.java
+++ b/sip/src/test/java/coveladder/sip/StreamFramerTest.java
@@ -46,7 +46,7 @@
       }
       assertEquals(List.of(one, two, three), messages);
       assertEquals(3, pings);
-      assertEquals(0, framer.waiting());
+      assertEquals(0, framer.bufferedBytes());
     }
   }
 
@@ -76,7 +76,7 @@
       try {
         for (int at = 0; at < noise.length; at += 50) {
           feed(framer, noise, at, 50);
-          assertTrue(framer.waiting() <= 300 + 50);
+          assertTrue(framer.bufferedBytes() <= 300 + 50);
         }
       } catch (SipParseException e) {
         assertTrue(e.status() == 400 || e.status() == 513);
--- a/sip/src/test/java/coveladder/sip/TortureTest.java
+++ b/sip/src/test/java/coveladder/sip/TortureTest.java
@@ -20,14 +20,14 @@
   private int fate(String text) {
     box.requests.clear();
     net.sent.clear();
-    long unreadable = box.stack.unreadable();
+    long unreadable = box.stack.malformedMessages();
     box.stack.receive(new Hop(Transport.UDP, "a", 5060), bytes(text));
     for (FakeNet.Sent sent : net.sent) {
       if (sent.text().startsWith("SIP/2.0 ")) {
         return Integer.parseInt(sent.text().substring(8, 11));
       }
     }
-    return box.requests.isEmpty() || box.stack.unreadable() > unreadable ? -1 : 0;
+    return box.requests.isEmpty() || box.stack.malformedMessages() > unreadable ? -1 : 0;
   }
 
   private static byte[] bytes(String text) {
--- a/sip/src/test/java/coveladder/sip/TransactionsTest.java
+++ b/sip/src/test/java/coveladder/sip/TransactionsTest.java
@@ -212,10 +212,10 @@
     invite.add("From", "<sip:me@a>");
     invite.add("To", "<sip:x@b>");
     invite.add("X-Long", "l".repeat(1500));
-    a.stack.agent().call(invite, new Hop(Transport.UDP, "b", 5060), a.listener);
+    a.stack.userAgent().call(invite, new Hop(Transport.UDP, "b", 5060), a.listener);
     assertEquals(Transport.TCP, net.sent.get(0).to().transport());
     assertTrue(net.sent.get(0).text().contains("Via: SIP/2.0/TCP"));
-    a.stack.failed(new Hop(Transport.TCP, "b", 5060), Failure.REFUSED);
+    a.stack.connectionFailed(new Hop(Transport.TCP, "b", 5060), Failure.REFUSED);
     assertEquals(Transport.UDP, net.sent.get(1).to().transport());
     assertTrue(net.sent.get(1).text().contains("Via: SIP/2.0/UDP"));
     assertEquals(List.of(), a.events);
@@ -225,7 +225,7 @@
   void aBrokenConnectionEndsWhatHungOnIt() {
     a.call("b", Transport.TCP);
     net.run(20);
-    a.stack.failed(new Hop(Transport.TCP, "b", 5060), Failure.RESET);
+    a.stack.connectionFailed(new Hop(Transport.TCP, "b", 5060), Failure.RESET);
     assertEquals(List.of("failed RESET"), a.events);
     b.calls.get(0).accept(b.calls.get(0).response(200));
     net.run(1_000);
@@ -240,7 +240,7 @@
     String invite = net.from("a", "INVITE").get(0).text();
     b.stack.receive(ephemeral, invite.getBytes(StandardCharsets.ISO_8859_1));
     b.calls.get(0).reject(b.calls.get(0).response(486));
-    b.stack.failed(ephemeral, Failure.RESET);
+    b.stack.connectionFailed(ephemeral, Failure.RESET);
     List<FakeNet.Sent> answers = net.from("b", "SIP/2.0 486");
     assertEquals(List.of(40_000, 5060), answers.stream().map(s -> s.to().port()).toList());
   }
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -6,9 +6,9 @@
 import coveladder.core.FinalAnswer;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
-import coveladder.sip.EndToEnd;
+import coveladder.sip.EndToEndHeaders;
 import coveladder.sip.Failure;
-import coveladder.sip.Relay;
+import coveladder.sip.RequestRelay;
 import coveladder.sip.ServerTransaction;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipMessage;
@@ -248,7 +248,7 @@
       switch (given.kind()) {
         case STANDS, PASSED -> {
           prepared = caller.response(answer.status());
-          EndToEnd.copy(answer, prepared);
+          EndToEndHeaders.copy(answer, prepared);
         }
         default -> prepared = FinalResponses.of(caller, given, transit, front.settings());
       }
@@ -315,9 +315,9 @@
 
   private void relayProgress(int number, SipResponse response) {
     SipResponse told = caller.response(response.status());
-    EndToEnd.copy(response, told);
+    EndToEndHeaders.copy(response, told);
     if (response.header("RSeq") != null) {
-      long sequence = response.number("RSeq", 0);
+      long sequence = response.numericHeader("RSeq", 0);
       told.add("RSeq", Integer.toString(reliableNumber(number, sequence, response)));
     }
     caller.progress(told);
@@ -353,7 +353,7 @@
 
   private void relay(
       CallLeg from, CallLeg to, ServerTransaction transaction, SipRequest request, String rack) {
-    Relay.carry(from, to, transaction, request, rack, this::agreed);
+    RequestRelay.forward(from, to, transaction, request, rack, this::agreed);
   }
 
   private void agreed(SipResponse response) {
@@ -366,7 +366,7 @@
    * gone without a word, and its circuits must not stay held.
    */
   private void watchSession(SipMessage agreed) {
-    double seconds = agreed.number("Session-Expires", 0);
+    double seconds = agreed.numericHeader("Session-Expires", 0);
     if (seconds > 0) {
       sessionLasts = seconds * 1000;
     }
@@ -378,7 +378,7 @@
       if (sessionTimer != null) {
         sessionTimer.cancel();
       }
-      sessionTimer = front.host().after(sessionLasts, this::sessionOver);
+      sessionTimer = front.host().schedule(sessionLasts, this::sessionOver);
     }
   }
 
--- a/sipfront/src/main/java/coveladder/sipfront/HostClock.java
+++ b/sipfront/src/main/java/coveladder/sipfront/HostClock.java
@@ -18,6 +18,6 @@
 
   @Override
   public Stop after(double delay, Runnable task) {
-    return host.after(delay, task)::cancel;
+    return host.schedule(delay, task)::cancel;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -80,7 +80,7 @@
 
   private static LegRecord read(byte[] octets, boolean whole) {
     try (DataInputStream data = new DataInputStream(new ByteArrayInputStream(octets))) {
-      Hop hop = new Hop(Transport.named(data.readUTF()), data.readUTF(), data.readInt());
+      Hop hop = new Hop(Transport.fromName(data.readUTF()), data.readUTF(), data.readInt());
       String callId = data.readUTF();
       String tag = data.readUTF();
       String remoteTag = data.readUTF();
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -61,7 +61,7 @@
   public byte[] attemptLeg(String call) {
     Bridge bridge = front.bridge(call);
     SipResponse answer = bridge.received();
-    long session = answer.number("Session-Expires", 0);
+    long session = answer.numericHeader("Session-Expires", 0);
     return record(bridge.attemptLeg(), answer.toTag(), true, session, answer.toBytes()).write();
   }
 
@@ -119,7 +119,7 @@
     if (owes) {
       wake(saved.id());
     } else if (to.session() > 0) {
-      front.host().after(1000.0 * to.session(), () -> sessionOver(saved.id()));
+      front.host().schedule(1000.0 * to.session(), () -> sessionOver(saved.id()));
     }
   }
 
@@ -177,7 +177,7 @@
 
   /** A dialog that was written before its answer left has only what its INVITE says. */
   private static Dialog.Progress begun(LegRecord leg) {
-    NameAddr contact = leg.request().address("Contact");
+    NameAddr contact = leg.request().addressHeader("Contact");
     String target = contact == null ? leg.request().from().uri() : contact.uri();
     return new Dialog.Progress(0, leg.request().cseq().number(), target);
   }
@@ -195,7 +195,7 @@
   private record HeldAnswers(Consumer<Held> told) implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
-      if (!response.provisional()) {
+      if (!response.isProvisional()) {
         boolean unsure = response.status() == 408 || response.status() >= 500;
         told.accept(response.status() == 481 ? Held.GONE : unsure ? Held.UNSURE : Held.YES);
       }
@@ -249,7 +249,9 @@
         };
     CallLeg leg = front.agent().resumeUnanswered(from.request(), from.hop(), from.tag(), waits);
     expected.put(saved.id(), leg);
-    front.host().after(front.settings().timing().life(), () -> abandon(saved.id()));
+    front
+        .host()
+        .schedule(front.settings().timing().transactionTimeout(), () -> abandon(saved.id()));
   }
 
   /** A caller that was not known to wait gets no answer unless it asks for one. */
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -17,7 +17,7 @@
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
 import coveladder.sip.ClientTransaction;
-import coveladder.sip.EndToEnd;
+import coveladder.sip.EndToEndHeaders;
 import coveladder.sip.Failure;
 import coveladder.sip.Hop;
 import coveladder.sip.NameAddr;
@@ -100,12 +100,12 @@
     this.settings = settings;
     this.clock = new HostClock(host);
     this.stack = new SipStack(host, settings.timing(), settings.limits(), this);
-    this.base = stack.agent().newTag() + '-';
+    this.base = stack.userAgent().newTag() + '-';
     if (keeping == null) {
       this.controller = new CallController(rules, this, guard, journal, policies);
     } else {
       this.legs = new SavedLegs(this, keeping.clock());
-      double life = settings.timing().life();
+      double life = settings.timing().transactionTimeout();
       this.writeAhead = new WriteAhead(this, legs, keeping.store(), life);
       RecoveryPace pace = new RecoveryPace(keeping.budget(), rules.coldShare(), rules.rampTime());
       CallController.Journal both = new KeepingJournal(journal, writeAhead, pace, clock);
@@ -116,7 +116,7 @@
     }
     this.list = subscriber(LIST_EVENT, settings.listServer(), new ListWatcher());
     this.circuits = subscriber(CIRCUIT_EVENT, settings.ownSwitch(), new CircuitWatcher());
-    stack.agent().layer().offerOverloadControl();
+    stack.userAgent().layer().offerOverloadControl();
   }
 
   /**
@@ -174,7 +174,7 @@
   private Subscriber subscriber(String event, Hop at, Subscriber.Watcher watcher) {
     String target = "sip:" + event + '@' + at.host() + ':' + at.port();
     String self = "sip:controller@" + settings.domain();
-    return new Subscriber(stack.agent(), host, event, self, target, at, watcher);
+    return new Subscriber(stack.userAgent(), host, event, self, target, at, watcher);
   }
 
   /** Begins: subscribes and starts the policy. */
@@ -193,8 +193,8 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {
-    stack.failed(hop, failure);
+  public void connectionFailed(Hop hop, Failure failure) {
+    stack.connectionFailed(hop, failure);
   }
 
   /** The stack. */
@@ -251,7 +251,7 @@
   }
 
   UserAgent agent() {
-    return stack.agent();
+    return stack.userAgent();
   }
 
   SipHost host() {
@@ -381,7 +381,7 @@
     String uri = "sip:" + order.number() + '@' + domain;
     SipRequest invite = new SipRequest("INVITE", uri);
     Hop own = settings.ownSwitch();
-    invite.add("Max-Forwards", Long.toString(came.number("Max-Forwards", 70) - 1));
+    invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
     invite.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
     if (order.alternative()) {
       invite.add("Route", '<' + order.first().address() + ";lr>");
@@ -390,7 +390,7 @@
     invite.add("To", '<' + uri + '>');
     int seconds = (int) Math.max(1, Math.ceil(order.within() / 1000));
     invite.add("Expires", Integer.toString(seconds));
-    EndToEnd.copy(came, invite);
+    EndToEndHeaders.copy(came, invite);
     addHistory(order, came, invite);
     return invite;
   }
@@ -457,12 +457,12 @@
 
     @Override
     public void response(SipResponse response) {
-      if (!response.provisional()) {
+      if (!response.isProvisional()) {
         LoadReports.Report report = OverloadReport.of(response, host.now());
         if (report != null) {
           controller.loadReport(exchange, report);
         }
-        controller.probed(exchange, response.success(), askedAt);
+        controller.probed(exchange, response.isSuccess(), askedAt);
       }
     }
 
@@ -519,7 +519,7 @@
   }
 
   private void peerMessage(ServerTransaction transaction, SipRequest request) {
-    SipUri from = SipUri.parse(request.address("From").uri());
+    SipUri from = SipUri.parse(request.addressHeader("From").uri());
     boolean known = from != null && from.user().matches("[0-9]{1,9}");
     transaction.respond(request.response(known ? 200 : 403));
     if (known) {
--- a/sipfront/src/main/java/coveladder/sipfront/WireOutcome.java
+++ b/sipfront/src/main/java/coveladder/sipfront/WireOutcome.java
@@ -36,7 +36,7 @@
   }
 
   private static WireOutcome unavailable(SipResponse response, ReasonField reason) {
-    double wait = 1000.0 * response.number("Retry-After", 0);
+    double wait = 1000.0 * response.numericHeader("Retry-After", 0);
     return switch (reason.cause()) {
       case ReasonField.NO_CIRCUIT ->
           plain(Outcome.BUSY, reason.transit() ? Reason.TURNED_BACK : Reason.NO_CIRCUIT);
--- a/standin/src/main/java/coveladder/standin/Life.java
+++ b/standin/src/main/java/coveladder/standin/Life.java
@@ -28,8 +28,8 @@
   }
 
   @Override
-  public Timer after(double delay, Runnable task) {
-    return host.after(
+  public Timer schedule(double delay, Runnable task) {
+    return host.schedule(
         delay,
         () -> {
           if (!over) {
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public Hop local(Transport transport) {
-    return host.local(transport);
+  public Hop localHop(Transport transport) {
+    return host.localHop(transport);
   }
 }
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -113,7 +113,7 @@
     double begin = Math.max(0, stalledUntil - now);
     double lasts = job.work() * slowness / share(now);
     long life = epoch;
-    host.after(begin + lasts, () -> finish(job, lasts, life));
+    host.schedule(begin + lasts, () -> finish(job, lasts, life));
   }
 
   private void finish(Job job, double lasted, long life) {
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -1,10 +1,10 @@
 package coveladder.standin;
 
+import coveladder.sip.AbstractSipNode;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
 import coveladder.sip.Failure;
 import coveladder.sip.Hop;
-import coveladder.sip.SipElement;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipResponse;
@@ -21,7 +21,7 @@
  * Stand-in callers: each makes its call, gives up when its patience ends, dials again after a
  * refusal, hangs up in the end, and comes again when it was cut.
  */
-public final class StandinCallers extends SipElement {
+public final class StandinCallers extends AbstractSipNode {
   private static final String SDP =
       "v=0\r\no=- 0 0 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\n"
           + "m=audio 9 RTP/AVP 0\r\n";
@@ -64,7 +64,7 @@
       Map<Integer, Hop> controllers,
       Habits habits,
       Consumer<Fate> fates) {
-    super(host, timing, SipStack.Limits.USUAL);
+    super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
     this.controllers = controllers;
     this.habits = habits;
@@ -87,7 +87,7 @@
       new Caller(plans.get(next++)).dial();
     }
     if (next < plans.size()) {
-      host.after(plans.get(next).at() - host.now(), this::dialNext);
+      host.schedule(plans.get(next).at() - host.now(), this::dialNext);
     }
   }
 
@@ -134,9 +134,9 @@
     void dial() {
       tries++;
       endedByOther = false;
-      Hop to = controllers.get(plan.from()).by(plan.transport());
+      Hop to = controllers.get(plan.from()).withTransport(plan.transport());
       SipRequest invite = new SipRequest("INVITE", "sip:" + plan.number() + '@' + plan.to());
-      invite.add("From", "<sip:member@" + host.local(plan.transport()).host() + '>');
+      invite.add("From", "<sip:member@" + host.localHop(plan.transport()).host() + '>');
       invite.add("To", '<' + invite.uri() + '>');
       invite.add("Expires", Long.toString(Math.round(plan.patience() / 1000)));
       invite.add("Resource-Priority", plan.priority());
@@ -148,8 +148,8 @@
       }
       invite.body("application/sdp", SDP);
       returned = false;
-      patience = host.after(plan.patience(), this::giveUp);
-      leg = agent().call(invite, to, this);
+      patience = host.schedule(plan.patience(), this::giveUp);
+      leg = userAgent().call(invite, to, this);
     }
 
     /** The call's name, then the number of the try: each try is a call to its controller. */
@@ -171,7 +171,7 @@
       patience.cancel();
       last = response.status();
       stoodAfter = stoodAfter < 0 ? host.now() - plan.at() : stoodAfter;
-      host.after(plan.hold(), () -> hangUp(answered));
+      host.schedule(plan.hold(), () -> hangUp(answered));
     }
 
     private void hangUp(CallLeg held) {
@@ -186,7 +186,7 @@
       if (refused == leg) {
         patience.cancel();
         last = response.status();
-        again(1000.0 * response.number("Retry-After", 0));
+        again(1000.0 * response.numericHeader("Retry-After", 0));
       }
     }
 
@@ -213,7 +213,7 @@
       redials++;
       double own = habits.redialAfter() * (1 + host.random().nextDouble());
       boolean follows = host.random().nextDouble() < habits.followsRetryAfter();
-      host.after(follows ? Math.max(own, told) : own, this::dial);
+      host.schedule(follows ? Math.max(own, told) : own, this::dial);
     }
 
     @Override
@@ -229,7 +229,7 @@
         returned = true;
         stoodAfter = -1;
         double wait = habits.returnAfter() * (1 + 4 * host.random().nextDouble());
-        host.after(wait, this::dial);
+        host.schedule(wait, this::dial);
       } else {
         over();
       }
--- a/standin/src/main/java/coveladder/standin/StandinList.java
+++ b/standin/src/main/java/coveladder/standin/StandinList.java
@@ -1,8 +1,8 @@
 package coveladder.standin;
 
+import coveladder.sip.AbstractSipNode;
 import coveladder.sip.Notifier;
 import coveladder.sip.ServerTransaction;
-import coveladder.sip.SipElement;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipStack;
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** A stand-in for the exchange list: it knows whether processors run, and tells it late. */
-public final class StandinList extends SipElement {
+public final class StandinList extends AbstractSipNode {
   private final SipHost host;
   private final Notifier notifier;
   private final double lateness;
@@ -41,10 +41,10 @@
 
   /** Makes a list that tells changes so many milliseconds late, give or take a half. */
   public StandinList(SipHost host, Timing timing, double lateness) {
-    super(host, timing, SipStack.Limits.USUAL);
+    super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
     this.lateness = lateness;
-    this.notifier = new Notifier(agent(), host, "exchange-list", 1000);
+    this.notifier = new Notifier(userAgent(), host, "exchange-list", 1000);
   }
 
   /** Enters lines that are known from the beginning. */
@@ -55,7 +55,7 @@
 
   /** Changes lines; subscribers hear of it late. */
   public void change(List<Line> news) {
-    host.after(lateness * (0.5 + host.random().nextDouble()), () -> publish(news));
+    host.schedule(lateness * (0.5 + host.random().nextDouble()), () -> publish(news));
   }
 
   private void publish(List<Line> news) {
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -2,7 +2,7 @@
 
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
-import coveladder.sip.EndToEnd;
+import coveladder.sip.EndToEndHeaders;
 import coveladder.sip.Failure;
 import coveladder.sip.Hop;
 import coveladder.sip.NameAddr;
@@ -67,11 +67,11 @@
 
   private void begin() {
     host = new Life(world, processor::speaks);
-    stack = new SipStack(host, plan.timing(), SipStack.Limits.USUAL, this);
-    notifier = new Notifier(stack.agent(), host, "circuit-groups", 64);
-    epoch = stack.agent().newTag();
+    stack = new SipStack(host, plan.timing(), SipStack.Limits.DEFAULT, this);
+    notifier = new Notifier(stack.userAgent(), host, "circuit-groups", 64);
+    epoch = stack.userAgent().newTag();
     version = 0;
-    stack.agent().layer().reportOverload(this::load);
+    stack.userAgent().layer().reportOverload(this::load);
   }
 
   @Override
@@ -170,9 +170,9 @@
   }
 
   @Override
-  public void failed(Hop hop, Failure failure) {
+  public void connectionFailed(Hop hop, Failure failure) {
     if (processor.up()) {
-      stack.failed(hop, failure);
+      stack.connectionFailed(hop, failure);
     }
   }
 
@@ -203,7 +203,7 @@
 
   private boolean isOwn(String route) {
     Hop hop = hopOf(route);
-    Hop own = host.local(hop.transport());
+    Hop own = host.localHop(hop.transport());
     return hop.host().equals(own.host()) && hop.port() == own.port();
   }
 
@@ -275,17 +275,17 @@
     SwitchCall call = taking;
     if (takingTo == null) {
       leg.progress(leg.response(180));
-      host.after(plan.answerAfter(), () -> answer(leg));
+      host.schedule(plan.answerAfter(), () -> answer(leg));
     } else {
       SipRequest invite = goesOn(leg.invite());
-      call.out(stack.agent().call(invite, takingTo, call.outgoing()));
+      call.out(stack.userAgent().call(invite, takingTo, call.outgoing()));
     }
   }
 
   private void answer(CallLeg leg) {
     if (processor.up() && leg.state() == CallLeg.State.CALLING) {
       SipResponse ok = leg.response(200);
-      ok.copy("History-Info", leg.invite());
+      ok.copyHeaders("History-Info", leg.invite());
       if (leg.invite().body().length > 0) {
         ok.body("application/sdp", leg.invite().bodyText());
       }
@@ -295,13 +295,13 @@
 
   private SipRequest goesOn(SipRequest came) {
     SipRequest invite = new SipRequest("INVITE", came.uri());
-    invite.add("Max-Forwards", Long.toString(came.number("Max-Forwards", 70) - 1));
+    invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
     if (!takingTo.equals(plan.controller())) {
       invite.add("Route", "<sip:" + takingTo.host() + ':' + takingTo.port() + ";lr>");
     }
     invite.add("From", '<' + NameAddr.parse(came.header("From")).uri() + '>');
     invite.add("To", '<' + came.uri() + '>');
-    EndToEnd.copy(came, invite);
+    EndToEndHeaders.copy(came, invite);
     return invite;
   }
 
@@ -349,7 +349,7 @@
     changed.add(toward);
     if (!notifying) {
       notifying = true;
-      host.after(NOTIFY_GAP, this::notifyChanged);
+      host.schedule(NOTIFY_GAP, this::notifyChanged);
     }
   }
 
--- a/standin/src/main/java/coveladder/standin/SwitchCall.java
+++ b/standin/src/main/java/coveladder/standin/SwitchCall.java
@@ -2,9 +2,9 @@
 
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
-import coveladder.sip.EndToEnd;
+import coveladder.sip.EndToEndHeaders;
 import coveladder.sip.Failure;
-import coveladder.sip.Relay;
+import coveladder.sip.RequestRelay;
 import coveladder.sip.ServerTransaction;
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipResponse;
@@ -70,7 +70,7 @@
       if (out == null) {
         owner.answerWithin(leg, transaction, request);
       } else {
-        Relay.carry(leg, out, transaction, request, request.header("RAck"), agreed -> {});
+        RequestRelay.forward(leg, out, transaction, request, request.header("RAck"), agreed -> {});
       }
     }
 
@@ -88,7 +88,7 @@
     @Override
     public void progress(CallLeg leg, SipResponse response) {
       SipResponse told = in.response(response.status());
-      EndToEnd.copy(response, told);
+      EndToEndHeaders.copy(response, told);
       if (response.header("RSeq") != null) {
         told.add("RSeq", response.header("RSeq"));
       }
@@ -105,15 +105,15 @@
         leg.bye(null);
       } else {
         SipResponse told = in.response(200);
-        EndToEnd.copy(response, told);
+        EndToEndHeaders.copy(response, told);
         in.accept(told);
       }
     }
 
     @Override
     public void rejected(CallLeg leg, SipResponse response) {
-      SipResponse told = in.response(response.status(), response.phrase());
-      EndToEnd.copy(response, told);
+      SipResponse told = in.response(response.status(), response.reasonPhrase());
+      EndToEndHeaders.copy(response, told);
       in.reject(told);
       release();
     }
@@ -128,7 +128,7 @@
 
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
-      Relay.carry(leg, in, transaction, request, null, agreed -> {});
+      RequestRelay.forward(leg, in, transaction, request, null, agreed -> {});
     }
 
     @Override
