--- a/sip/src/main/java/coveladder/sip/AbstractSipNode.java
+++ b/sip/src/main/java/coveladder/sip/AbstractSipNode.java
@@ -1,17 +1,18 @@
 package coveladder.sip;
 
 /**
- * A plain element with a stack: it takes no calls and answers OPTIONS, unless it says otherwise.
+ * Base class of a node with a SIP stack. Unless overridden, it rejects calls with 486 and answers
+ * OPTIONS.
  */
 public abstract class AbstractSipNode implements SipNode, UserAgent.Owner {
   private final SipStack stack;
 
-  /** Makes an element on a world. */
+  /** Creates a node whose stack runs on the given host. */
   protected AbstractSipNode(SipHost host, Timing timing, SipStack.Limits limits) {
     stack = new SipStack(host, timing, limits, this);
   }
 
-  /** Its user agent. */
+  /** The user agent of the stack. */
   protected final UserAgent userAgent() {
     return stack.userAgent();
   }
@@ -20,8 +21,8 @@
   public void start() {}
 
   @Override
-  public void receive(Hop from, byte[] message, double arrived) {
-    stack.receive(from, message, arrived);
+  public void receive(Hop from, byte[] message, double arrivedAtMillis) {
+    stack.receive(from, message, arrivedAtMillis);
   }
 
   @Override
--- a/sip/src/main/java/coveladder/sip/CSeq.java
+++ b/sip/src/main/java/coveladder/sip/CSeq.java
@@ -8,16 +8,16 @@
  */
 public record CSeq(long number, String method) {
 
-  /** Reads the value; null where it is none. */
+  /** Parses a CSeq value; returns null if the text is not one. */
   public static CSeq parse(String text) {
     String value = text.trim();
-    int blank = 0;
-    while (blank < value.length() && value.charAt(blank) > ' ') {
-      blank++;
+    int numberEnd = 0;
+    while (numberEnd < value.length() && value.charAt(numberEnd) > ' ') {
+      numberEnd++;
     }
-    long number = Scan.number(value.substring(0, blank), Integer.MAX_VALUE);
-    String method = value.substring(blank).trim();
-    return number < 0 || !Scan.token(method) ? null : new CSeq(number, method);
+    long number = HeaderScanner.parseNumber(value.substring(0, numberEnd), Integer.MAX_VALUE);
+    String method = value.substring(numberEnd).trim();
+    return number < 0 || !HeaderScanner.isToken(method) ? null : new CSeq(number, method);
   }
 
   @Override
--- a/sip/src/main/java/coveladder/sip/EndToEndHeaders.java
+++ b/sip/src/main/java/coveladder/sip/EndToEndHeaders.java
@@ -2,9 +2,9 @@
 
 import java.util.Set;
 
-/** Which fields a back-to-back user agent carries from one leg to the other. */
+/** Copies the header fields that a back-to-back user agent passes from one leg to the other. */
 public final class EndToEndHeaders {
-  private static final Set<String> OWN =
+  private static final Set<String> LEG_SPECIFIC_HEADERS =
       Set.of(
           "Via",
           "From",
@@ -23,25 +23,29 @@
   private EndToEndHeaders() {}
 
   /**
-   * Copies the body and all fields that are not of the leg itself: unknown ones, credentials and
-   * challenges among them, pass unread. Fields that the other message has already stay.
+   * Copies the body and all header fields that are not specific to a leg. Unknown fields,
+   * credentials and challenges are passed on without being parsed. Fields that the target message
+   * already has are kept.
+   *
+   * @param from the message to copy from; nothing is copied if null
+   * @param to the message to copy to
    */
   public static void copy(SipMessage from, SipMessage to) {
     if (from == null) {
       return;
     }
-    int before = to.headerCount();
+    int initialCount = to.headerCount();
     for (int i = 0; i < from.headerCount(); i++) {
       String name = from.headerName(i);
-      if (!OWN.contains(name) && !isIn(to, name, before)) {
+      if (!LEG_SPECIFIC_HEADERS.contains(name) && !hasHeader(to, name, initialCount)) {
         to.add(name, from.headerValue(i));
       }
     }
     to.body(from.body());
   }
 
-  private static boolean isIn(SipMessage message, String name, int among) {
-    for (int i = 0; i < among; i++) {
+  private static boolean hasHeader(SipMessage message, String name, int headerCount) {
+    for (int i = 0; i < headerCount; i++) {
       if (message.headerName(i).equalsIgnoreCase(name)) {
         return true;
       }
--- a/sip/src/main/java/coveladder/sip/Failure.java
+++ b/sip/src/main/java/coveladder/sip/Failure.java
@@ -1,10 +1,10 @@
 package coveladder.sip;
 
-/** Why a message could not be delivered or was never answered. */
+/** The reason why a message was not delivered or not answered. */
 public enum Failure {
-  /** No connection: refused, unreachable, or not made in time. Nothing was sent. */
+  /** The connection was refused, unreachable or not established in time. Nothing was sent. */
   REFUSED,
-  /** The connection broke; what was sent may have arrived. */
+  /** The connection was lost; messages sent on it may have arrived. */
   RESET,
   /** No final answer within 64*T1 (timers B and F, RFC 3261 section 17.1). */
   TIMED_OUT
--- a/sip/src/main/java/coveladder/sip/HeaderNames.java
+++ b/sip/src/main/java/coveladder/sip/HeaderNames.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Names of header fields: compact forms of RFC 3261 section 7.3.3 and one spelling of each. */
+/** Maps header field names and their compact forms (RFC 3261 section 7.3.3) to one spelling. */
 final class HeaderNames {
-  private static final Map<String, String> KNOWN = new HashMap<>();
+  private static final Map<String, String> CANONICAL_NAMES = new HashMap<>();
 
   static {
     for (String name :
@@ -54,9 +54,9 @@
           "Referred-By",
           "Min-Expires"
         }) {
-      learn(name, name);
+      register(name, name);
     }
-    String[] compact = {
+    String[] compactForms = {
       "v",
       "Via",
       "f",
@@ -88,28 +88,31 @@
       "x",
       "Session-Expires"
     };
-    for (int i = 0; i < compact.length; i += 2) {
-      learn(compact[i], compact[i + 1]);
+    for (int i = 0; i < compactForms.length; i += 2) {
+      register(compactForms[i], compactForms[i + 1]);
     }
   }
 
   private HeaderNames() {}
 
-  private static void learn(String written, String full) {
-    KNOWN.put(written, full);
-    KNOWN.put(written.toLowerCase(Locale.ROOT), full);
-    KNOWN.put(written.toUpperCase(Locale.ROOT), full);
+  private static void register(String written, String canonical) {
+    CANONICAL_NAMES.put(written, canonical);
+    CANONICAL_NAMES.put(written.toLowerCase(Locale.ROOT), canonical);
+    CANONICAL_NAMES.put(written.toUpperCase(Locale.ROOT), canonical);
   }
 
-  /** The full name in its one spelling; names that are not known stay as written. */
+  /** Returns the full name in its canonical spelling; an unknown name is returned as written. */
   static String canonical(String written) {
-    String name = known(written);
+    String name = lookUp(written);
     return name == null ? written : name;
   }
 
-  /** The one object for a known name, however it is spelt; null for a name that is not known. */
-  static String known(String written) {
-    String name = KNOWN.get(written);
-    return name != null ? name : KNOWN.get(written.toLowerCase(Locale.ROOT));
+  /**
+   * Returns the canonical name for any spelling of it, always the same object; null if the name is
+   * unknown.
+   */
+  static String lookUp(String written) {
+    String name = CANONICAL_NAMES.get(written);
+    return name != null ? name : CANONICAL_NAMES.get(written.toLowerCase(Locale.ROOT));
   }
 }
--- a/sip/src/main/java/coveladder/sip/Hop.java
+++ b/sip/src/main/java/coveladder/sip/Hop.java
@@ -1,17 +1,21 @@
 package coveladder.sip;
 
 /**
- * Where a message goes or came from.
+ * The destination or source of a message.
  *
  * @param transport the transport
- * @param host a host name or address; IPv6 without brackets
- * @param port its port; for a stream that came in, the peer's own port, which names the connection
+ * @param host the host name or address; IPv6 without brackets
+ * @param port the port; for an incoming stream connection, the peer's source port, which identifies
+ *     the connection
  */
 public record Hop(Transport transport, String host, int port) {
 
-  /** The same place by another transport, as for a request too large for a datagram. */
-  public Hop withTransport(Transport other) {
-    return new Hop(other, host, port);
+  /**
+   * Returns the same host and port with another transport, for example for a request that is too
+   * large for a datagram.
+   */
+  public Hop withTransport(Transport newTransport) {
+    return new Hop(newTransport, host, port);
   }
 
   @Override
--- a/sip/src/main/java/coveladder/sip/HostPort.java
+++ b/sip/src/main/java/coveladder/sip/HostPort.java
@@ -1,30 +1,33 @@
 package coveladder.sip;
 
 /**
- * A host with its port, as in URIs and Via.
+ * A host and a port, as in URIs and Via.
  *
- * @param host name or address, IPv6 without brackets
- * @param port the port, 0 where none is written
+ * @param host the host name or address, IPv6 without brackets
+ * @param port the port, 0 if none is given
  */
 record HostPort(String host, int port) {
 
-  /** Reads {@code host[:port]}; null where it is neither. */
+  /** Parses {@code host[:port]}; returns null if the text is not of that form. */
   static HostPort parse(String text) {
-    String place = text.trim();
-    int bracket = place.startsWith("[") ? place.indexOf(']') : 0;
-    if (bracket < 0) {
+    String trimmed = text.trim();
+    int closingBracket = trimmed.startsWith("[") ? trimmed.indexOf(']') : 0;
+    if (closingBracket < 0) {
       return null;
     }
-    int colon = place.indexOf(':', bracket);
-    String host = (colon < 0 ? place : place.substring(0, colon)).trim();
-    long port = colon < 0 ? 0 : Scan.number(place.substring(colon + 1).trim(), 65535);
-    if (bracket > 0) {
-      host = host.substring(1, bracket);
+    int colon = trimmed.indexOf(':', closingBracket);
+    String host = (colon < 0 ? trimmed : trimmed.substring(0, colon)).trim();
+    long port =
+        colon < 0 ? 0 : HeaderScanner.parseNumber(trimmed.substring(colon + 1).trim(), 65535);
+    if (closingBracket > 0) {
+      host = host.substring(1, closingBracket);
     }
-    return host.isEmpty() || port < 0 || !plain(host) ? null : new HostPort(host, (int) port);
+    return host.isEmpty() || port < 0 || !hasNoDelimiter(host)
+        ? null
+        : new HostPort(host, (int) port);
   }
 
-  private static boolean plain(String host) {
+  private static boolean hasNoDelimiter(String host) {
     for (int i = 0; i < host.length(); i++) {
       char c = host.charAt(i);
       if (c <= ' ' || c == '<' || c == '>' || c == '"' || c == ',' || c == '@') {
@@ -34,9 +37,10 @@
     return true;
   }
 
+  /** Writes {@code host[:port]}, with brackets around an IPv6 address. */
   static void write(StringBuilder out, String host, int port) {
-    boolean six = host.indexOf(':') >= 0;
-    out.append(six ? "[" : "").append(host).append(six ? "]" : "");
+    boolean ipv6 = host.indexOf(':') >= 0;
+    out.append(ipv6 ? "[" : "").append(host).append(ipv6 ? "]" : "");
     if (port > 0) {
       out.append(':').append(port);
     }
--- a/sip/src/main/java/coveladder/sip/MessageCheck.java
+++ b/sip/src/main/java/coveladder/sip/MessageValidator.java
@@ -1,27 +1,27 @@
 package coveladder.sip;
 
-/** What every message must have before anything else looks at it (RFC 3261 section 8.1.1). */
-final class MessageCheck {
-  /** Stands behind a Request-URI whose line named another version of SIP. */
-  static final String OTHER_VERSION = "\u0001";
+/** Checks the header fields that every message must have (RFC 3261 section 8.1.1). */
+final class MessageValidator {
+  /** Suffix of the Request-URI of a request whose start line names another version of SIP. */
+  static final String UNSUPPORTED_VERSION_MARK = "\u0001";
 
-  private static final String[] ONCE = {
+  private static final String[] SINGLE_OCCURRENCE_HEADERS = {
     "From", "To", "Call-ID", "CSeq", "Max-Forwards", "Content-Length", "Expires"
   };
 
-  private MessageCheck() {}
+  private MessageValidator() {}
 
-  /** What is wrong with a message, or null. */
-  static String problem(SipMessage message) {
-    String wrong = fields(message);
-    if (wrong == null && message instanceof SipRequest request) {
-      wrong = request(request);
+  /** Returns a description of the first problem of a message; null if it is valid. */
+  static String findProblem(SipMessage message) {
+    String problem = findHeaderProblem(message);
+    if (problem == null && message instanceof SipRequest request) {
+      problem = findRequestProblem(request);
     }
-    return wrong;
+    return problem;
   }
 
-  /** Whether enough can be read to send an answer back. */
-  static boolean answerable(SipRequest request) {
+  /** Whether a request has the header fields that a response to it needs. */
+  static boolean isAnswerable(SipRequest request) {
     return !request.is("ACK")
         && request.via() != null
         && request.header("From") != null
@@ -30,14 +30,14 @@
         && request.header("CSeq") != null;
   }
 
-  private static String fields(SipMessage message) {
-    for (String name : ONCE) {
+  private static String findHeaderProblem(SipMessage message) {
+    for (String name : SINGLE_OCCURRENCE_HEADERS) {
       if (message.headerLineCount(name) > 1) {
         return name + " more than once";
       }
     }
     if (message.via() == null) {
-      return "Via missing or unreadable";
+      return "Via missing or malformed";
     }
     if (message.callId() == null || message.callId().isEmpty()) {
       return "Call-ID missing";
@@ -51,7 +51,7 @@
     return message.to() == null ? "To missing or no address" : null;
   }
 
-  private static String request(SipRequest request) {
+  private static String findRequestProblem(SipRequest request) {
     if (!request.cseq().method().equals(request.method())) {
       return "CSeq names " + request.cseq().method() + " in a request of " + request.method();
     }
@@ -60,19 +60,21 @@
       return "Request-URI with blanks or angle brackets";
     }
     int colon = uri.indexOf(':');
-    if (colon <= 0 || !Scan.token(uri.substring(0, colon))) {
+    if (colon <= 0 || !HeaderScanner.isToken(uri.substring(0, colon))) {
       return "Request-URI without a scheme";
     }
-    return numbers(request);
+    return findRequestHeaderProblem(request);
   }
 
-  private static String numbers(SipRequest request) {
-    String hops = request.header("Max-Forwards");
-    if (hops != null && Scan.number(hops, 255) < 0) {
+  private static String findRequestHeaderProblem(SipRequest request) {
+    String maxForwards = request.header("Max-Forwards");
+    if (maxForwards != null && HeaderScanner.parseNumber(maxForwards, 255) < 0) {
       return "Max-Forwards not a number from 0 to 255";
     }
     String expires = request.header("Expires");
-    if (expires != null && request.is("INVITE") && Scan.number(expires, 0xffffffffL) < 0) {
+    if (expires != null
+        && request.is("INVITE")
+        && HeaderScanner.parseNumber(expires, 0xffffffffL) < 0) {
       return "Expires not a number of seconds below 2^32";
     }
     for (String contact : request.headers("Contact")) {
--- a/sip/src/main/java/coveladder/sip/NameAddr.java
+++ b/sip/src/main/java/coveladder/sip/NameAddr.java
@@ -4,73 +4,73 @@
  * An address with its parameters, as in From, To, Contact, Route and Record-Route (RFC 3261 section
  * 20).
  *
- * @param displayName the display name as written, quotes kept; empty if none
+ * @param displayName the display name as written, with its quotes; empty if none
  * @param uri the URI as written
- * @param params the header parameters, the tag among them
+ * @param params the header parameters, including the tag
  */
 public record NameAddr(String displayName, String uri, Params params) {
 
-  /** Reads an address; null where it is none. */
+  /** Parses an address; returns null if the text is not one. */
   public static NameAddr parse(String text) {
-    if (!Scan.balanced(text)) {
+    if (!HeaderScanner.isBalanced(text)) {
       return null;
     }
-    int open = openBracket(text);
-    if (open < 0) {
+    int openBracket = indexOfOpenBracket(text);
+    if (openBracket < 0) {
       int semicolon = text.indexOf(';');
       String uri = (semicolon < 0 ? text : text.substring(0, semicolon)).trim();
       String params = semicolon < 0 ? "" : text.substring(semicolon + 1);
-      return absolute(uri) ? new NameAddr("", uri, Params.parse(params)) : null;
+      return isAbsoluteUri(uri) ? new NameAddr("", uri, Params.parse(params)) : null;
     }
-    int close = text.indexOf('>', open);
-    String rest = text.substring(close + 1).trim();
-    String display = text.substring(0, open).trim();
-    String uri = text.substring(open + 1, close).trim();
-    boolean after = rest.isEmpty() || rest.charAt(0) == ';';
-    return after && absolute(uri) && named(display)
-        ? new NameAddr(display, uri, Params.parse(rest.isEmpty() ? "" : rest.substring(1)))
+    int closeBracket = text.indexOf('>', openBracket);
+    String rest = text.substring(closeBracket + 1).trim();
+    String displayName = text.substring(0, openBracket).trim();
+    String uri = text.substring(openBracket + 1, closeBracket).trim();
+    boolean onlyParamsFollow = rest.isEmpty() || rest.charAt(0) == ';';
+    return onlyParamsFollow && isAbsoluteUri(uri) && isValidDisplayName(displayName)
+        ? new NameAddr(displayName, uri, Params.parse(rest.isEmpty() ? "" : rest.substring(1)))
         : null;
   }
 
-  private static int openBracket(String text) {
-    boolean quoted = false;
+  private static int indexOfOpenBracket(String text) {
+    boolean inQuotes = false;
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      if (quoted && c == '\\') {
+      if (inQuotes && c == '\\') {
         i++;
       } else if (c == '"') {
-        quoted = !quoted;
-      } else if (c == '<' && !quoted) {
+        inQuotes = !inQuotes;
+      } else if (c == '<' && !inQuotes) {
         return i;
       }
     }
     return -1;
   }
 
-  private static boolean absolute(String uri) {
+  private static boolean isAbsoluteUri(String uri) {
     int colon = uri.indexOf(':');
-    return colon > 0 && uri.indexOf(' ') < 0 && Scan.token(uri.substring(0, colon));
+    return colon > 0 && uri.indexOf(' ') < 0 && HeaderScanner.isToken(uri.substring(0, colon));
   }
 
-  /** A display name is a quoted string or tokens; commas and such need quotes. */
-  private static boolean named(String display) {
-    if (display.isEmpty() || display.charAt(0) == '"') {
+  /** A display name is a quoted string or a sequence of tokens; other characters need quotes. */
+  private static boolean isValidDisplayName(String displayName) {
+    if (displayName.isEmpty() || displayName.charAt(0) == '"') {
       return true;
     }
-    for (String word : display.split("[ \t]+")) {
-      if (!Scan.token(word)) {
+    for (String word : displayName.split("[ \t]+")) {
+      if (!HeaderScanner.isToken(word)) {
         return false;
       }
     }
     return true;
   }
 
-  /** An address of a plain URI in angle brackets. */
+  /** Returns an address of a URI, without display name or parameters. */
   public static NameAddr of(String uri) {
     return new NameAddr("", uri, new Params());
   }
 
-  /** The tag; null if there is none. */
+  /** The tag parameter; null if there is none. */
   public String tag() {
     return params.get("tag");
   }
--- a/sip/src/main/java/coveladder/sip/Params.java
+++ b/sip/src/main/java/coveladder/sip/Params.java
@@ -5,76 +5,83 @@
 import java.util.Locale;
 
 /**
- * Parameters set apart by semicolons (RFC 3261 section 7.3.1). Names are held in lower case, values
- * as written, quotes included; a flag has the empty value.
+ * Parameters separated by semicolons (RFC 3261 section 7.3.1). Names are stored in lower case,
+ * values as written, including quotes; a parameter without a value has an empty one.
  */
 public final class Params {
-  private static final int USUAL = 4;
+  private static final int EXPECTED_PARAMS = 4;
 
-  private List<String> pairs = List.of();
+  /** Names at even indexes, each followed by its value. */
+  private List<String> namesAndValues = List.of();
 
-  /** Reads the text after the first semicolon; null or empty text gives no parameters. */
+  /**
+   * Parses parameters.
+   *
+   * @param text the text after the first semicolon; null or empty for no parameters
+   */
   public static Params parse(String text) {
     Params params = new Params();
-    int at = 0;
-    int end = text == null ? 0 : text.length();
-    while (at < end) {
-      int next = Scan.find(text, ';', at);
-      params.read(text.substring(at, next).trim());
-      at = next + 1;
+    int pairStart = 0;
+    int length = text == null ? 0 : text.length();
+    while (pairStart < length) {
+      int pairEnd = HeaderScanner.indexOfUnquoted(text, ';', pairStart);
+      params.parsePair(text.substring(pairStart, pairEnd).trim());
+      pairStart = pairEnd + 1;
     }
     return params;
   }
 
-  private void read(String pair) {
-    int sign = pair.indexOf('=');
-    String name = sign < 0 ? pair : pair.substring(0, sign).trim();
+  private void parsePair(String pair) {
+    int equalsSign = pair.indexOf('=');
+    String name = equalsSign < 0 ? pair : pair.substring(0, equalsSign).trim();
     if (!name.isEmpty()) {
-      set(name.toLowerCase(Locale.ROOT), sign < 0 ? "" : pair.substring(sign + 1).trim());
+      set(
+          name.toLowerCase(Locale.ROOT),
+          equalsSign < 0 ? "" : pair.substring(equalsSign + 1).trim());
     }
   }
 
-  private int find(String name) {
-    for (int i = 0; i < pairs.size(); i += 2) {
-      if (pairs.get(i).equals(name)) {
+  private int indexOf(String name) {
+    for (int i = 0; i < namesAndValues.size(); i += 2) {
+      if (namesAndValues.get(i).equals(name)) {
         return i;
       }
     }
     return -1;
   }
 
-  /** The value, empty for a flag; null where there is none. */
+  /** The value of a parameter, empty if it has none; null if there is no such parameter. */
   public String get(String name) {
-    int at = find(name);
-    return at < 0 ? null : pairs.get(at + 1);
+    int index = indexOf(name);
+    return index < 0 ? null : namesAndValues.get(index + 1);
   }
 
-  /** Whether the parameter is there, with or without value. */
+  /** Whether the parameter is present, with or without a value. */
   public boolean has(String name) {
-    return find(name) >= 0;
+    return indexOf(name) >= 0;
   }
 
-  /** Sets a parameter; an empty value makes a flag. Returns these parameters. */
+  /** Sets a parameter; an empty value writes only its name. Returns this object. */
   public Params set(String name, String value) {
-    int at = find(name);
-    if (at >= 0) {
-      pairs.set(at + 1, value);
+    int index = indexOf(name);
+    if (index >= 0) {
+      namesAndValues.set(index + 1, value);
       return this;
     }
-    if (pairs.isEmpty()) {
-      pairs = new ArrayList<>(2 * USUAL);
+    if (namesAndValues.isEmpty()) {
+      namesAndValues = new ArrayList<>(2 * EXPECTED_PARAMS);
     }
-    pairs.add(name);
-    pairs.add(value);
+    namesAndValues.add(name);
+    namesAndValues.add(value);
     return this;
   }
 
-  /** Writes the parameters, each behind a semicolon. */
+  /** Writes the parameters, each preceded by a semicolon. */
   public void write(StringBuilder out) {
-    for (int i = 0; i < pairs.size(); i += 2) {
-      out.append(';').append(pairs.get(i));
-      if (!pairs.get(i + 1).isEmpty()) {
-        out.append('=').append(pairs.get(i + 1));
+    for (int i = 0; i < namesAndValues.size(); i += 2) {
+      out.append(';').append(namesAndValues.get(i));
+      if (!namesAndValues.get(i + 1).isEmpty()) {
+        out.append('=').append(namesAndValues.get(i + 1));
       }
     }
   }
--- a/sip/src/main/java/coveladder/sip/RequestRelay.java
+++ b/sip/src/main/java/coveladder/sip/RequestRelay.java
@@ -2,41 +2,43 @@
 
 import java.util.function.Consumer;
 
-/** Carries a request within a dialog from one leg of a call to the other, and its answers back. */
+/** Relays a request within a dialog from one leg of a call to the other, and its responses back. */
 public final class RequestRelay implements ClientTransaction.Listener {
-  private final CallLeg from;
+  private final CallLeg fromLeg;
   private final ServerTransaction transaction;
   private final SipRequest request;
-  private final Consumer<SipResponse> agreed;
+  private final Consumer<SipResponse> onSessionRefresh;
 
   private RequestRelay(
-      CallLeg from,
+      CallLeg fromLeg,
       ServerTransaction transaction,
       SipRequest request,
-      Consumer<SipResponse> agreed) {
-    this.from = from;
+      Consumer<SipResponse> onSessionRefresh) {
+    this.fromLeg = fromLeg;
     this.transaction = transaction;
     this.request = request;
-    this.agreed = agreed;
+    this.onSessionRefresh = onSessionRefresh;
   }
 
   /**
-   * Carries a request over. Where the other leg cannot take it, it is answered at once: 491 for a
-   * re-INVITE that meets another (RFC 3261 section 14.1), else 481.
+   * Forwards a request. If the other leg cannot send it, it is answered immediately: a re-INVITE,
+   * which collides with another one (RFC 3261 section 14.1), with 491, any other request with 481.
    *
-   * @param to the other leg, or null
+   * @param fromLeg the leg that received the request
+   * @param toLeg the other leg, or null
+   * @param transaction the server transaction of the request
    * @param rack value of RAck on the other leg, or null
-   * @param agreed told of each 2xx that refreshes the session
+   * @param onSessionRefresh called with each 2xx to an INVITE or UPDATE
    */
   public static void forward(
-      CallLeg from,
-      CallLeg to,
+      CallLeg fromLeg,
+      CallLeg toLeg,
       ServerTransaction transaction,
       SipRequest request,
       String rack,
-      Consumer<SipResponse> agreed) {
-    RequestRelay relay = new RequestRelay(from, transaction, request, agreed);
-    if (to == null || !to.send(request.method(), request, rack, relay)) {
+      Consumer<SipResponse> onSessionRefresh) {
+    RequestRelay relay = new RequestRelay(fromLeg, transaction, request, onSessionRefresh);
+    if (toLeg == null || !toLeg.send(request.method(), request, rack, relay)) {
       relay.answer(request.response(request.is("INVITE") ? 491 : 481));
     }
   }
@@ -46,13 +48,13 @@
     if (response.status() == 100) {
       return;
     }
-    SipResponse told = request.response(response.status(), response.reasonPhrase());
-    EndToEndHeaders.copy(response, told);
+    SipResponse relayed = request.response(response.status(), response.reasonPhrase());
+    EndToEndHeaders.copy(response, relayed);
     if (response.isSuccess() && (request.is("INVITE") || request.is("UPDATE"))) {
-      told.add("Contact", from.contact());
-      agreed.accept(response);
+      relayed.add("Contact", fromLeg.contact());
+      onSessionRefresh.accept(response);
     }
-    answer(told);
+    answer(relayed);
   }
 
   @Override
@@ -60,11 +62,11 @@
     answer(request.response(failure == Failure.TIMED_OUT ? 408 : 500));
   }
 
-  private void answer(SipResponse told) {
+  private void answer(SipResponse relayed) {
     if (request.is("INVITE")) {
-      from.answerReinvite(transaction, told);
+      fromLeg.answerReinvite(transaction, relayed);
     } else {
-      transaction.respond(told);
+      transaction.respond(relayed);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipHost.java
+++ b/sip/src/main/java/coveladder/sip/SipHost.java
@@ -3,29 +3,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a SIP stack needs of the world around it: a clock, timers, randomness and the wire. Sockets
- * and the simulated network each give one. All calls come from, and lead back to, one thread.
+ * The environment of a SIP stack: clock, timers, random numbers and transport. Implemented on
+ * sockets and by the simulated network. All calls and callbacks happen on one thread.
  */
 public interface SipHost {
 
-  /** The clock in milliseconds; it never steps back. */
+  /** The monotonic clock, in milliseconds. */
   double now();
 
-  /** Runs the task once after a delay in milliseconds, never within this call. */
-  Timer schedule(double delay, Runnable task);
+  /** Runs the task once after a delay in milliseconds, never during this call. */
+  Timer schedule(double delayMillis, Runnable task);
 
-  /** The source of branches, tags and Call-IDs. */
+  /** The random generator for branches, tags and Call-IDs. */
   RandomGenerator random();
 
-  /** Hands a whole message to the transport; a failure comes later through {@link SipStack}. */
+  /**
+   * Hands a complete message to the transport. A failure is reported later through {@link
+   * SipStack#connectionFailed}.
+   */
   void send(Hop to, byte[] message);
 
-  /** Own address as written into Via and Contact. */
+  /** The local address, as written into Via and Contact. */
   Hop localHop(Transport transport);
 
-  /** A timer that is running. */
+  /** A pending timer. */
   interface Timer {
-    /** Stops it; without effect once it ran. */
+    /** Cancels the timer; has no effect once its task has run. */
     void cancel();
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipMessage.java
+++ b/sip/src/main/java/coveladder/sip/SipMessage.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * A request or response: header fields in their order and a body.
+ * A request or response: header fields in their order, and a body.
  *
- * <p>Text is held byte for byte (ISO 8859-1), so that fields in UTF-8 or any other code leave as
- * they came. Names are held in full form; unknown ones stay as written.
+ * <p>Text is stored byte for byte (ISO 8859-1), so that fields in UTF-8 or any other encoding are
+ * forwarded unchanged. Known header names are stored in their full form, unknown ones as written.
  */
 public abstract sealed class SipMessage permits SipRequest, SipResponse {
   private static final byte[] NO_BODY = {};
@@ -21,69 +21,69 @@
   private NameAddr from;
   private NameAddr to;
 
-  /** The first line, without its end. */
+  /** The start line, without its line end. */
   public abstract String startLine();
 
-  /** Number of header fields. */
+  /** The number of header fields. */
   public int headerCount() {
     return names.size();
   }
 
-  /** Name of the field at a place. */
-  public String headerName(int at) {
-    return names.get(at);
+  /** The name of the field at an index. */
+  public String headerName(int index) {
+    return names.get(index);
   }
 
-  /** Value of the field at a place. */
-  public String headerValue(int at) {
-    return values.get(at);
+  /** The value of the field at an index. */
+  public String headerValue(int index) {
+    return values.get(index);
   }
 
-  /** Known names are held in one spelling, each one object, so that these compare at once. */
-  private int find(String name, int start) {
-    String known = HeaderNames.known(name);
+  /** Known names are stored as one object each, so that they can be compared by identity. */
+  private int indexOf(String name, int start) {
+    String canonical = HeaderNames.lookUp(name);
     for (int i = start; i < names.size(); i++) {
-      String held = names.get(i);
-      if (known != null ? held == known : held.equalsIgnoreCase(name)) {
+      String candidate = names.get(i);
+      if (canonical != null ? candidate == canonical : candidate.equalsIgnoreCase(name)) {
         return i;
       }
     }
     return -1;
   }
 
-  /** What was read out of the fields holds no longer. */
-  private void changed() {
+  /** Discards the parsed values of the header fields. */
+  private void clearParsedHeaders() {
     topVia = null;
     cseq = null;
     from = null;
     to = null;
   }
 
-  /** The first field of that name, as written; null if there is none. */
+  /** The value of the first field of that name, as written; null if there is none. */
   public String header(String name) {
-    int at = find(name, 0);
-    return at < 0 ? null : values.get(at);
+    int index = indexOf(name, 0);
+    return index < 0 ? null : values.get(index);
   }
 
-  /** The field's value, or another where there is none. */
-  public String header(String name, String absent) {
+  /** The value of the first field of that name, or the default value if there is none. */
+  public String header(String name, String defaultValue) {
     String value = header(name);
-    return value == null ? absent : value;
+    return value == null ? defaultValue : value;
   }
 
-  /** All values of a field, those on one line taken apart at their commas. */
+  /** All values of the fields of that name; values on one line are split at commas. */
   public List<String> headers(String name) {
     List<String> all = new ArrayList<>(2);
-    for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
-      all.addAll(Scan.values(values.get(i)));
+    for (int i = indexOf(name, 0); i >= 0; i = indexOf(name, i + 1)) {
+      all.addAll(HeaderScanner.splitValues(values.get(i)));
     }
     return all;
   }
 
-  /** How many lines bear this name. */
+  /** The number of header lines of that name. */
   public int headerLineCount(String name) {
     int count = 0;
-    for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
+    for (int i = indexOf(name, 0); i >= 0; i = indexOf(name, i + 1)) {
       count++;
     }
     return count;
@@ -91,109 +91,112 @@
 
   /** Appends a field. */
   public void add(String name, String value) {
-    changed();
+    clearParsedHeaders();
     names.add(HeaderNames.canonical(name));
     values.add(value);
   }
 
-  /** Puts a field before all others of any name. */
+  /** Inserts a field before all others. */
   public void addFirst(String name, String value) {
-    changed();
+    clearParsedHeaders();
     names.add(0, HeaderNames.canonical(name));
     values.add(0, value);
   }
 
   /** Replaces all fields of that name by one. */
   public void set(String name, String value) {
-    changed();
-    int at = find(name, 0);
-    if (at < 0) {
+    clearParsedHeaders();
+    int index = indexOf(name, 0);
+    if (index < 0) {
       add(name, value);
       return;
     }
-    values.set(at, value);
-    for (int i = find(name, at + 1); i >= 0; i = find(name, i)) {
+    values.set(index, value);
+    for (int i = indexOf(name, index + 1); i >= 0; i = indexOf(name, i)) {
       names.remove(i);
       values.remove(i);
     }
   }
 
-  /** Takes all fields of that name away. */
+  /** Removes all fields of that name. */
   public void remove(String name) {
-    changed();
-    for (int i = find(name, 0); i >= 0; i = find(name, i)) {
+    clearParsedHeaders();
+    for (int i = indexOf(name, 0); i >= 0; i = indexOf(name, i)) {
       names.remove(i);
       values.remove(i);
     }
   }
 
-  /** Takes the first value of a field away, whether it shares its line or not; returns it. */
+  /**
+   * Removes and returns the first value of a field, which may share its line with others; null if
+   * there is none.
+   */
   public String removeFirstValue(String name) {
-    changed();
-    int at = find(name, 0);
-    if (at < 0) {
+    clearParsedHeaders();
+    int index = indexOf(name, 0);
+    if (index < 0) {
       return null;
     }
-    String line = values.get(at);
-    int comma = Scan.find(line, ',', 0);
+    String line = values.get(index);
+    int comma = HeaderScanner.indexOfUnquoted(line, ',', 0);
     if (comma == line.length()) {
-      names.remove(at);
-      values.remove(at);
+      names.remove(index);
+      values.remove(index);
     } else {
-      values.set(at, line.substring(comma + 1).trim());
+      values.set(index, line.substring(comma + 1).trim());
     }
     return line.substring(0, comma).trim();
   }
 
-  /** Replaces the topmost Via by another. */
+  /** Replaces the topmost Via. */
   public void topVia(Via via) {
-    changed();
-    int at = find("Via", 0);
-    String line = values.get(at);
-    int comma = Scan.find(line, ',', 0);
-    values.set(at, via + line.substring(comma));
+    clearParsedHeaders();
+    int index = indexOf("Via", 0);
+    String line = values.get(index);
+    int comma = HeaderScanner.indexOfUnquoted(line, ',', 0);
+    values.set(index, via + line.substring(comma));
   }
 
-  /** Copies all fields of that name from another message, behind those held. */
+  /** Appends all fields of that name of another message. */
   public void copyHeaders(String name, SipMessage other) {
-    changed();
-    for (int i = other.find(name, 0); i >= 0; i = other.find(name, i + 1)) {
+    clearParsedHeaders();
+    for (int i = other.indexOf(name, 0); i >= 0; i = other.indexOf(name, i + 1)) {
       names.add(other.names.get(i));
       values.add(other.values.get(i));
     }
   }
 
-  /** The body; empty if none. Not to be written to. */
+  /** The body; empty if there is none. Callers must not modify it. */
   public byte[] body() {
     return body;
   }
 
-  /** The body as text in UTF-8. */
+  /** The body decoded as UTF-8. */
   public String bodyText() {
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  /** Sets the body; its length is written by {@link #toBytes}. */
+  /** Sets the body; {@link #toBytes} writes the Content-Length. Null sets an empty body. */
   public void body(byte[] content) {
     body = content == null ? NO_BODY : content;
   }
 
-  /** Sets a body with its type. */
+  /** Sets the body and its Content-Type. */
   public void body(String type, String text) {
     set("Content-Type", type);
     body = text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The topmost Via; null if it cannot be read. */
+  /** The topmost Via; null if it is missing or malformed. */
   public Via via() {
     String line = topVia == null ? header("Via") : null;
     if (line != null) {
-      topVia = Via.parse(line.substring(0, Scan.find(line, ',', 0)));
+      topVia = Via.parse(line.substring(0, HeaderScanner.indexOfUnquoted(line, ',', 0)));
     }
     return topVia;
   }
 
-  /** The sequence number and method; null if they cannot be read. */
+  /** The CSeq value; null if it is missing or malformed. */
   public CSeq cseq() {
     String line = cseq == null ? header("CSeq") : null;
     if (line != null) {
@@ -202,7 +205,7 @@
     return cseq;
   }
 
-  /** An address; null if it is missing or cannot be read. */
+  /** The address in a field; null if it is missing or malformed. */
   public NameAddr addressHeader(String name) {
     String line = header(name);
     return line == null ? null : NameAddr.parse(line);
@@ -213,7 +216,7 @@
     return header("Call-ID");
   }
 
-  /** The From address; null if it is missing or cannot be read. */
+  /** The From address; null if it is missing or malformed. */
   public NameAddr from() {
     if (from == null) {
       from = addressHeader("From");
@@ -221,7 +224,7 @@
     return from;
   }
 
-  /** The To address; null if it is missing or cannot be read. */
+  /** The To address; null if it is missing or malformed. */
   public NameAddr to() {
     if (to == null) {
       to = addressHeader("To");
@@ -229,33 +232,36 @@
     return to;
   }
 
-  /** Tag of From; null if there is none. */
+  /** The From tag; null if there is none. */
   public String fromTag() {
     NameAddr address = from();
     return address == null ? null : address.tag();
   }
 
-  /** Tag of To; null if there is none. */
+  /** The To tag; null if there is none. */
   public String toTag() {
     NameAddr address = to();
     return address == null ? null : address.tag();
   }
 
-  /** A whole number in a field, or another where it is missing or none. */
-  public long numericHeader(String name, long absent) {
+  /**
+   * The integer at the beginning of a field's value, or the default value if the field is missing
+   * or does not begin with one.
+   */
+  public long numericHeader(String name, long defaultValue) {
     String line = header(name);
     if (line == null) {
-      return absent;
+      return defaultValue;
     }
     int end = 0;
     while (end < line.length() && line.charAt(end) >= '0' && line.charAt(end) <= '9') {
       end++;
     }
-    long value = Scan.number(line.substring(0, end), Integer.MAX_VALUE);
-    return value < 0 ? absent : value;
+    long value = HeaderScanner.parseNumber(line.substring(0, end), Integer.MAX_VALUE);
+    return value < 0 ? defaultValue : value;
   }
 
-  /** The message as it goes on the wire, with the Content-Length of its body. */
+  /** Serializes the message, with the Content-Length of its body. */
   public byte[] toBytes() {
     StringBuilder out = new StringBuilder(640);
     out.append(startLine()).append("\r\n");
--- a/sip/src/main/java/coveladder/sip/SipNode.java
+++ b/sip/src/main/java/coveladder/sip/SipNode.java
@@ -1,19 +1,22 @@
 package coveladder.sip;
 
-/** One element of the network, as a world drives it: a controller, a switch, a list, callers. */
+/**
+ * An element of the network that is driven by its {@link SipHost}: a controller, a switch, an
+ * exchange directory or a group of callers.
+ */
 public interface SipNode {
 
-  /** Begins. */
+  /** Starts the node. */
   void start();
 
   /**
-   * A whole message came.
+   * Handles a complete message.
    *
-   * @param from where it came from
-   * @param arrived clock of its arrival, ms; before now where it waited unread
+   * @param from the source of the message
+   * @param arrivedAtMillis clock time of its arrival, ms; earlier than now if it was queued
    */
-  void receive(Hop from, byte[] message, double arrived);
+  void receive(Hop from, byte[] message, double arrivedAtMillis);
 
-  /** A connection could not be made, or broke. */
+  /** Handles a connection that could not be established or was lost. */
   void connectionFailed(Hop hop, Failure failure);
 }
--- a/sip/src/main/java/coveladder/sip/SipParseException.java
+++ b/sip/src/main/java/coveladder/sip/SipParseException.java
@@ -1,36 +1,43 @@
 package coveladder.sip;
 
-/** A message that is not SIP; carries the answer that a request deserves. */
+/** Reports a malformed message; for a request, with what is needed to answer it. */
 public final class SipParseException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final int status;
-  private final transient SipRequest answerable;
+  private final transient SipRequest answerableRequest;
 
   /**
-   * Makes the error.
+   * Creates the exception for a message that cannot be answered.
    *
-   * @param status the status for an answer, 400 or 505 among others
-   * @param reason what is wrong, where, and what was expected
+   * @param status the status of a response, for example 400 or 505
+   * @param reason describes the problem
    */
   public SipParseException(int status, String reason) {
     this(status, reason, null);
   }
 
-  /** Makes the error with as much of the request as an answer needs; null if there is not. */
-  public SipParseException(int status, String reason, SipRequest answerable) {
+  /**
+   * Creates the exception.
+   *
+   * @param status the status of a response, for example 400 or 505
+   * @param reason describes the problem; sent as the reason phrase of the response
+   * @param answerableRequest the request with the header fields that a response needs; null if some
+   *     are missing
+   */
+  public SipParseException(int status, String reason, SipRequest answerableRequest) {
     super(reason);
     this.status = status;
-    this.answerable = answerable;
+    this.answerableRequest = answerableRequest;
   }
 
-  /** The status that fits. */
+  /** The status of a response to the message. */
   public int status() {
     return status;
   }
 
-  /** The request so far, if Via, From, To, Call-ID and CSeq could be read; else null. */
-  public SipRequest answerable() {
-    return answerable;
+  /** The request as far as it was parsed, if it can be answered; otherwise null. */
+  public SipRequest answerableRequest() {
+    return answerableRequest;
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipParser.java
+++ b/sip/src/main/java/coveladder/sip/SipParser.java
@@ -3,42 +3,46 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads one whole message from bytes (RFC 3261 sections 7 and 25, torture cases of RFC 4475). It
- * throws nothing but {@link SipParseException}, whatever the bytes are, and looks at each of them a
- * fixed number of times.
+ * Parses one complete message (RFC 3261 sections 7 and 25, torture cases of RFC 4475). For any
+ * input it throws nothing but {@link SipParseException}, and it examines each byte a fixed number
+ * of times.
  */
 public final class SipParser {
   private final int maxHeaders;
 
-  /** Makes a parser that refuses messages of more header lines than this. */
+  /** Creates a parser that rejects messages with more than {@code maxHeaders} header lines. */
   public SipParser(int maxHeaders) {
     this.maxHeaders = maxHeaders;
   }
 
   /**
-   * Reads the message in the array's given part. For a datagram, octets behind the body that
-   * Content-Length names are dropped (RFC 3261 section 18.3).
+   * Parses the message in a range of an array. Octets after the body, whose length Content-Length
+   * states, are dropped, as RFC 3261 section 18.3 requires for datagrams.
+   *
+   * @param from index of the first byte
+   * @param to index after the last byte
    */
   public SipMessage parse(byte[] data, int from, int to) throws SipParseException {
     int start = skipBlankLines(data, from, to);
-    int end = lineEnd(data, start, to);
+    int end = findLineEnd(data, start, to);
     if (end == to) {
       throw new SipParseException(400, "no line end after the start line");
     }
-    SipMessage message = startLine(text(data, start, end));
-    int at = headers(message, data, next(data, end, to), to);
-    body(message, data, at, to);
-    if (message instanceof SipRequest r && r.uri().endsWith(MessageCheck.OTHER_VERSION)) {
-      throw new SipParseException(505, "version is not SIP/2.0", answerable(message));
+    SipMessage message = parseStartLine(decode(data, start, end));
+    int bodyStart = parseHeaders(message, data, nextLineStart(data, end, to), to);
+    readBody(message, data, bodyStart, to);
+    if (message instanceof SipRequest request
+        && request.uri().endsWith(MessageValidator.UNSUPPORTED_VERSION_MARK)) {
+      throw new SipParseException(505, "version is not SIP/2.0", answerableRequestOrNull(message));
     }
-    String wrong = MessageCheck.problem(message);
-    if (wrong != null) {
-      throw new SipParseException(400, wrong, answerable(message));
+    String problem = MessageValidator.findProblem(message);
+    if (problem != null) {
+      throw new SipParseException(400, problem, answerableRequestOrNull(message));
     }
     return message;
   }
 
-  /** Reads a whole array. */
+  /** Parses the message in a whole array. */
   public SipMessage parse(byte[] data) throws SipParseException {
     return parse(data, 0, data.length);
   }
@@ -51,7 +55,7 @@
     return at;
   }
 
-  private static int lineEnd(byte[] data, int from, int to) {
+  private static int findLineEnd(byte[] data, int from, int to) {
     int at = from;
     while (at < to && data[at] != '\n') {
       at++;
@@ -59,107 +63,112 @@
     return at > from && at < to && data[at - 1] == '\r' ? at - 1 : at;
   }
 
-  private static int next(byte[] data, int end, int to) {
+  private static int nextLineStart(byte[] data, int end, int to) {
     return end < to && data[end] == '\r' ? end + 2 : end + 1;
   }
 
-  private static String text(byte[] data, int from, int to) {
+  private static String decode(byte[] data, int from, int to) {
     return new String(data, from, to - from, StandardCharsets.ISO_8859_1);
   }
 
-  private static SipMessage startLine(String written) throws SipParseException {
+  private static SipMessage parseStartLine(String written) throws SipParseException {
     String line = written.stripTrailing();
-    int first = line.indexOf(' ');
-    int second = first < 0 ? -1 : line.indexOf(' ', first + 1);
-    if (line.startsWith("SIP/") && first > 0) {
-      return statusLine(line, first, second);
+    int firstSpace = line.indexOf(' ');
+    int secondSpace = firstSpace < 0 ? -1 : line.indexOf(' ', firstSpace + 1);
+    if (line.startsWith("SIP/") && firstSpace > 0) {
+      return parseStatusLine(line, firstSpace, secondSpace);
     }
     String[] parts = line.split(" ", -1);
-    if (second < 0 || !Scan.token(parts[0]) || !parts[parts.length - 1].startsWith("SIP/")) {
+    if (secondSpace < 0
+        || !HeaderScanner.isToken(parts[0])
+        || !parts[parts.length - 1].startsWith("SIP/")) {
       throw new SipParseException(400, "start line is neither a request's nor a response's");
     }
-    boolean plain = parts.length == 3 && line.length() == written.length();
-    String uri = line.substring(first + 1, line.lastIndexOf(' ')) + (plain ? "" : " ");
-    return new SipRequest(parts[0], versioned(uri, parts[parts.length - 1]));
+    boolean wellFormed = parts.length == 3 && line.length() == written.length();
+    String uri = line.substring(firstSpace + 1, line.lastIndexOf(' ')) + (wellFormed ? "" : " ");
+    return new SipRequest(parts[0], markUnsupportedVersion(uri, parts[parts.length - 1]));
   }
 
-  /** Marks a version that is not ours by a control sign, for {@link MessageCheck} to find. */
-  private static String versioned(String uri, String version) {
-    return version.equalsIgnoreCase("SIP/2.0") ? uri : uri + MessageCheck.OTHER_VERSION;
+  /** Appends a control character to the URI if the version is not SIP/2.0. */
+  private static String markUnsupportedVersion(String uri, String version) {
+    return version.equalsIgnoreCase("SIP/2.0")
+        ? uri
+        : uri + MessageValidator.UNSUPPORTED_VERSION_MARK;
   }
 
-  private static SipMessage statusLine(String line, int first, int second)
+  private static SipMessage parseStatusLine(String line, int firstSpace, int secondSpace)
       throws SipParseException {
-    String code = line.substring(first + 1, second < 0 ? line.length() : second);
-    long status = Scan.number(code, 699);
-    if (!line.substring(0, first).equalsIgnoreCase("SIP/2.0") || code.length() != 3) {
+    String code = line.substring(firstSpace + 1, secondSpace < 0 ? line.length() : secondSpace);
+    long status = HeaderScanner.parseNumber(code, 699);
+    if (!line.substring(0, firstSpace).equalsIgnoreCase("SIP/2.0") || code.length() != 3) {
       throw new SipParseException(400, "status line without SIP/2.0 and three digits");
     }
     if (status < 100) {
       throw new SipParseException(400, "status outside 100 to 699");
     }
-    return new SipResponse((int) status, second < 0 ? "" : line.substring(second + 1));
+    return new SipResponse((int) status, secondSpace < 0 ? "" : line.substring(secondSpace + 1));
   }
 
-  /** Reads header lines; returns where the body begins. */
-  private int headers(SipMessage message, byte[] data, int from, int to) throws SipParseException {
-    int at = from;
-    int count = 0;
-    while (at < to) {
-      int end = lineEnd(data, at, to);
-      if (end == at) {
-        return Math.min(to, next(data, end, to));
+  /** Parses the header lines and returns the index of the body. */
+  private int parseHeaders(SipMessage message, byte[] data, int from, int to)
+      throws SipParseException {
+    int lineStart = from;
+    int lineCount = 0;
+    while (lineStart < to) {
+      int lineEnd = findLineEnd(data, lineStart, to);
+      if (lineEnd == lineStart) {
+        return Math.min(to, nextLineStart(data, lineEnd, to));
       }
-      if (++count > maxHeaders) {
+      if (++lineCount > maxHeaders) {
         throw new SipParseException(400, "more than " + maxHeaders + " header lines");
       }
-      int following = next(data, end, to);
-      String line = text(data, at, end);
-      while (following < to && (data[following] == ' ' || data[following] == '\t')) {
-        int folded = lineEnd(data, following, to);
-        line = line.stripTrailing() + " " + text(data, following, folded).strip();
-        following = next(data, folded, to);
-        if (++count > maxHeaders) {
+      int nextStart = nextLineStart(data, lineEnd, to);
+      String line = decode(data, lineStart, lineEnd);
+      while (nextStart < to && (data[nextStart] == ' ' || data[nextStart] == '\t')) {
+        int foldedEnd = findLineEnd(data, nextStart, to);
+        line = line.stripTrailing() + " " + decode(data, nextStart, foldedEnd).strip();
+        nextStart = nextLineStart(data, foldedEnd, to);
+        if (++lineCount > maxHeaders) {
           throw new SipParseException(400, "more than " + maxHeaders + " header lines");
         }
       }
-      field(message, line);
-      at = following;
+      parseHeader(message, line);
+      lineStart = nextStart;
     }
     return to;
   }
 
-  private static void field(SipMessage message, String line) throws SipParseException {
+  private static void parseHeader(SipMessage message, String line) throws SipParseException {
     int colon = line.indexOf(':');
     String name = colon < 0 ? "" : line.substring(0, colon).stripTrailing();
-    if (!Scan.token(name)) {
-      String cut = line.length() > 40 ? line.substring(0, 40) : line;
-      throw new SipParseException(400, "header line without name and colon: " + cut);
+    if (!HeaderScanner.isToken(name)) {
+      String excerpt = line.length() > 40 ? line.substring(0, 40) : line;
+      throw new SipParseException(400, "header line without name and colon: " + excerpt);
     }
     message.add(name, line.substring(colon + 1).strip());
   }
 
-  private static void body(SipMessage message, byte[] data, int at, int to)
+  private static void readBody(SipMessage message, byte[] data, int bodyStart, int to)
       throws SipParseException {
-    int length = to - at;
+    int length = to - bodyStart;
     String written = message.header("Content-Length");
     if (written != null) {
-      long named = Scan.number(written, Integer.MAX_VALUE);
-      if (named < 0 || named > length) {
-        String wrong = "Content-Length " + written + " with " + length + " octets of body";
-        throw new SipParseException(400, wrong, answerable(message));
+      long declared = HeaderScanner.parseNumber(written, Integer.MAX_VALUE);
+      if (declared < 0 || declared > length) {
+        String problem = "Content-Length " + written + " with " + length + " octets of body";
+        throw new SipParseException(400, problem, answerableRequestOrNull(message));
       }
-      length = (int) named;
+      length = (int) declared;
     }
     if (length > 0) {
       byte[] body = new byte[length];
-      System.arraycopy(data, at, body, 0, length);
+      System.arraycopy(data, bodyStart, body, 0, length);
       message.body(body);
     }
   }
 
-  private static SipRequest answerable(SipMessage message) {
-    return message instanceof SipRequest request && MessageCheck.answerable(request)
+  private static SipRequest answerableRequestOrNull(SipMessage message) {
+    return message instanceof SipRequest request && MessageValidator.isAnswerable(request)
         ? request
         : null;
   }
--- a/sip/src/main/java/coveladder/sip/SipRequest.java
+++ b/sip/src/main/java/coveladder/sip/SipRequest.java
@@ -5,7 +5,7 @@
   private final String method;
   private final String uri;
 
-  /** Makes a request without fields. */
+  /** Creates a request without header fields. */
   public SipRequest(String method, String uri) {
     this.method = method;
     this.uri = uri;
@@ -16,7 +16,7 @@
     return method;
   }
 
-  /** Whether this is the method. */
+  /** Whether the request has the given method. */
   public boolean is(String other) {
     return method.equals(other);
   }
@@ -26,14 +26,17 @@
     return uri;
   }
 
-  /** Makes a response with the fields that every response repeats (RFC 3261 section 8.2.6). */
+  /**
+   * Creates a response with the header fields that are copied from the request (RFC 3261 section
+   * 8.2.6).
+   */
   public SipResponse response(int status) {
     return response(status, SipResponse.reasonPhrase(status));
   }
 
-  /** Makes a response with a reason phrase of one's own. */
-  public SipResponse response(int status, String phrase) {
-    SipResponse response = new SipResponse(status, phrase);
+  /** Creates a response as {@link #response(int)} does, with the given reason phrase. */
+  public SipResponse response(int status, String reasonPhrase) {
+    SipResponse response = new SipResponse(status, reasonPhrase);
     response.copyHeaders("Via", this);
     response.copyHeaders("From", this);
     response.copyHeaders("To", this);
--- a/sip/src/main/java/coveladder/sip/SipResponse.java
+++ b/sip/src/main/java/coveladder/sip/SipResponse.java
@@ -4,7 +4,7 @@
 
 /** A response (RFC 3261 section 7.2). */
 public final class SipResponse extends SipMessage {
-  private static final Map<Integer, String> PHRASES =
+  private static final Map<Integer, String> REASON_PHRASES =
       Map.ofEntries(
           Map.entry(100, "Trying"),
           Map.entry(180, "Ringing"),
@@ -40,15 +40,15 @@
   private final int status;
   private final String reasonPhrase;
 
-  /** Makes a response without fields. */
-  public SipResponse(int status, String phrase) {
+  /** Creates a response without header fields. */
+  public SipResponse(int status, String reasonPhrase) {
     this.status = status;
-    this.reasonPhrase = phrase;
+    this.reasonPhrase = reasonPhrase;
   }
 
-  /** The usual phrase of a status. */
+  /** The default reason phrase of a status. */
   public static String reasonPhrase(int status) {
-    return PHRASES.getOrDefault(status, "Unknown");
+    return REASON_PHRASES.getOrDefault(status, "Unknown");
   }
 
   /** The status, 100 to 699. */
@@ -61,7 +61,7 @@
     return reasonPhrase;
   }
 
-  /** Whether more will follow. */
+  /** Whether it is a 1xx, so that a further response follows. */
   public boolean isProvisional() {
     return status < 200;
   }
--- a/sip/src/main/java/coveladder/sip/SipStack.java
+++ b/sip/src/main/java/coveladder/sip/SipStack.java
@@ -1,8 +1,8 @@
 package coveladder.sip;
 
 /**
- * A whole SIP element without its wire: reads what came, hands it to the transactions, and answers
- * what cannot be read. One for each node; single-threaded.
+ * A SIP stack without the transport: parses received messages, passes them to the transaction layer
+ * and answers malformed requests. Each node has one. Not thread-safe.
  */
 public final class SipStack {
   private final SipHost host;
@@ -11,9 +11,9 @@
   private long malformedMessages;
 
   /**
-   * Makes a stack.
+   * Creates a stack.
    *
-   * @param limits bounds on what is read and held
+   * @param limits bounds on messages and transactions
    */
   public SipStack(SipHost host, Timing timing, Limits limits, UserAgent.Owner owner) {
     this.host = host;
@@ -22,13 +22,13 @@
   }
 
   /**
-   * Bounds of a stack.
+   * Limits of a stack.
    *
-   * @param maxHeaderLines most header lines of a message
-   * @param maxServerTransactions most server transactions at a time
+   * @param maxHeaderLines maximum number of header lines of a message
+   * @param maxServerTransactions maximum number of concurrent server transactions
    */
   public record Limits(int maxHeaderLines, int maxServerTransactions) {
-    /** Bounds that a large controller can live with. */
+    /** Limits that suffice for a large controller. */
     public static final Limits DEFAULT = new Limits(128, 400_000);
   }
 
@@ -37,31 +37,32 @@
     return userAgent;
   }
 
-  /** Messages that could not be read so far. */
+  /** The number of malformed messages so far. */
   public long malformedMessages() {
     return malformedMessages;
   }
 
-  /** Takes one datagram, or one message cut from a stream, that has only now arrived. */
+  /** Handles a message that has just arrived. */
   public void receive(Hop from, byte[] message) {
     receive(from, message, host.now());
   }
 
   /**
-   * Takes one datagram, or one message cut from a stream.
+   * Handles one datagram, or one message extracted from a stream.
    *
-   * @param arrived clock of its arrival, ms; before now where it waited
+   * @param from the source of the message
+   * @param arrivedAtMillis clock time of its arrival, ms; earlier than now if it was queued
    */
-  public void receive(Hop from, byte[] message, double arrived) {
+  public void receive(Hop from, byte[] message, double arrivedAtMillis) {
     if (isKeepAlive(message)) {
       return;
     }
     try {
-      userAgent.layer().receive(from, parser.parse(message), arrived);
+      userAgent.layer().receive(from, parser.parse(message), arrivedAtMillis);
     } catch (SipParseException e) {
       malformedMessages++;
-      if (e.answerable() != null) {
-        userAgent.layer().refuseUnread(from, e.answerable(), e.status(), e.getMessage());
+      if (e.answerableRequest() != null) {
+        userAgent.layer().refuseUnread(from, e.answerableRequest(), e.status(), e.getMessage());
       }
     }
   }
@@ -75,7 +76,7 @@
     return true;
   }
 
-  /** A connection could not be made, or broke. */
+  /** Handles a connection that could not be established or was lost. */
   public void connectionFailed(Hop hop, Failure failure) {
     userAgent.layer().failed(hop, failure);
   }
--- a/sip/src/main/java/coveladder/sip/StreamFramer.java
+++ b/sip/src/main/java/coveladder/sip/StreamFramer.java
@@ -6,157 +6,170 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into whole messages by Content-Length (RFC 3261 section 18.3) and answers the
- * keep-alive of RFC 5626 section 3.5.1: a double CRLF between messages is a ping, one CRLF its
- * pong. Holds at most one message of bounded size.
+ * Splits a stream into complete messages by Content-Length (RFC 3261 section 18.3) and detects the
+ * keep-alive of RFC 5626 section 3.5.1: a double CRLF between messages is a ping, a single CRLF its
+ * pong. Buffers at most one message of bounded size.
  */
 public final class StreamFramer {
-  private final int maxHead;
-  private final int maxBody;
+  private final int maxHeaderBytes;
+  private final int maxBodyBytes;
   private byte[] buffer = new byte[2048];
-  private int held;
-  private int scanned;
-  private int whole = -1;
+
+  /** Number of bytes in the buffer. */
+  private int buffered;
+
+  /** Number of buffered bytes already searched for the end of the header. */
+  private int scannedBytes;
+
+  /** Length of the message at the start of the buffer; -1 until its header is complete. */
+  private int messageLength = -1;
 
   /**
-   * Makes a framer.
+   * Creates a framer.
    *
-   * @param maxHead most octets of start line and header fields
-   * @param maxBody most octets of a body
+   * @param maxHeaderBytes maximum length of start line and header fields
+   * @param maxBodyBytes maximum length of a body
    */
-  public StreamFramer(int maxHead, int maxBody) {
-    this.maxHead = maxHead;
-    this.maxBody = maxBody;
+  public StreamFramer(int maxHeaderBytes, int maxBodyBytes) {
+    this.maxHeaderBytes = maxHeaderBytes;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
   /**
-   * Takes the next octets and hands out each message that they complete.
+   * Processes the next octets of the stream.
    *
-   * @param ping run for each keep-alive ping, which deserves a CRLF
-   * @throws SipParseException where the stream can no longer be cut into messages; the connection
-   *     is then of no more use
+   * @param onMessage called with each message that is complete
+   * @param onPing run for each keep-alive ping, which must be answered with a CRLF
+   * @throws SipParseException if the stream can no longer be split into messages; the connection
+   *     must then be closed
    */
-  public void feed(byte[] data, int from, int length, Consumer<byte[]> message, Runnable ping)
+  public void feed(byte[] data, int from, int length, Consumer<byte[]> onMessage, Runnable onPing)
       throws SipParseException {
     int at = from;
     int end = from + length;
     while (at < end) {
-      int room = whole >= 0 ? whole - held : Math.min(end - at, 4096);
-      int taken = Math.min(room, end - at);
-      append(data, at, taken);
-      at += taken;
-      cut(message, ping);
+      int maxCount = messageLength >= 0 ? messageLength - buffered : Math.min(end - at, 4096);
+      int count = Math.min(maxCount, end - at);
+      append(data, at, count);
+      at += count;
+      extractMessages(onMessage, onPing);
     }
   }
 
-  /** Octets waiting for the rest of their message. */
+  /** The number of octets buffered until the rest of their message arrives. */
   public int bufferedBytes() {
-    return held;
+    return buffered;
   }
 
   private void append(byte[] data, int at, int count) {
-    if (held + count > buffer.length) {
-      buffer = Arrays.copyOf(buffer, Math.max(held + count, buffer.length * 2));
+    if (buffered + count > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffered + count, buffer.length * 2));
     }
-    System.arraycopy(data, at, buffer, held, count);
-    held += count;
+    System.arraycopy(data, at, buffer, buffered, count);
+    buffered += count;
   }
 
-  private void cut(Consumer<byte[]> message, Runnable ping) throws SipParseException {
+  private void extractMessages(Consumer<byte[]> onMessage, Runnable onPing)
+      throws SipParseException {
     boolean more = true;
     while (more) {
-      more = whole < 0 ? head(ping) : held >= whole;
-      if (whole >= 0 && held >= whole) {
-        message.accept(Arrays.copyOf(buffer, whole));
-        drop(whole);
-        whole = -1;
+      more = messageLength < 0 ? findHeader(onPing) : buffered >= messageLength;
+      if (messageLength >= 0 && buffered >= messageLength) {
+        onMessage.accept(Arrays.copyOf(buffer, messageLength));
+        discard(messageLength);
+        messageLength = -1;
       }
     }
   }
 
-  /** Looks for the end of the header; whether something was found or dropped. */
-  private boolean head(Runnable ping) throws SipParseException {
-    if (held > 0 && (buffer[0] == '\r' || buffer[0] == '\n')) {
-      return blank(ping);
+  /** Looks for the end of the header; returns whether it was found or line ends were discarded. */
+  private boolean findHeader(Runnable onPing) throws SipParseException {
+    if (buffered > 0 && (buffer[0] == '\r' || buffer[0] == '\n')) {
+      return consumeLineEnds(onPing);
     }
-    int end = headEnd();
+    int end = findHeaderEnd();
     if (end < 0) {
-      if (held > maxHead) {
-        throw new SipParseException(513, "header longer than " + maxHead + " octets");
+      if (buffered > maxHeaderBytes) {
+        throw new SipParseException(513, "header longer than " + maxHeaderBytes + " octets");
       }
       return false;
     }
-    whole = end + contentLength(end);
+    messageLength = end + contentLength(end);
     return true;
   }
 
-  /** Deals with line ends between messages: pings, pongs and leftovers. */
-  private boolean blank(Runnable ping) {
+  /**
+   * Consumes line ends between messages: pings, pongs and stray line ends. Returns false if more
+   * octets are needed.
+   */
+  private boolean consumeLineEnds(Runnable onPing) {
     if (buffer[0] == '\n') {
-      drop(1);
+      discard(1);
       return true;
     }
-    if (held < 2 || held < 4 && buffer[1] == '\n' && (held == 2 || buffer[2] == '\r')) {
+    if (buffered < 2 || buffered < 4 && buffer[1] == '\n' && (buffered == 2 || buffer[2] == '\r')) {
       return false;
     }
-    boolean two = buffer[1] == '\n' && held >= 4 && buffer[2] == '\r' && buffer[3] == '\n';
-    if (two) {
-      ping.run();
+    boolean isPing = buffer[1] == '\n' && buffered >= 4 && buffer[2] == '\r' && buffer[3] == '\n';
+    if (isPing) {
+      onPing.run();
     }
-    drop(two ? 4 : buffer[1] == '\n' ? 2 : 1);
+    discard(isPing ? 4 : buffer[1] == '\n' ? 2 : 1);
     return true;
   }
 
-  private int headEnd() {
-    for (int i = Math.max(1, scanned); i < held; i++) {
-      boolean blank = buffer[i] == '\n' && (buffer[i - 1] == '\n' || blankBefore(i));
-      if (blank) {
+  private int findHeaderEnd() {
+    for (int i = Math.max(1, scannedBytes); i < buffered; i++) {
+      boolean endsHeader = buffer[i] == '\n' && (buffer[i - 1] == '\n' || followsLfCr(i));
+      if (endsHeader) {
         return i + 1;
       }
     }
-    scanned = held;
+    scannedBytes = buffered;
     return -1;
   }
 
-  private boolean blankBefore(int i) {
+  private boolean followsLfCr(int i) {
     return i >= 2 && buffer[i - 1] == '\r' && buffer[i - 2] == '\n';
   }
 
-  private int contentLength(int end) throws SipParseException {
-    String head = new String(buffer, 0, end, StandardCharsets.ISO_8859_1);
-    String lower = head.toLowerCase(Locale.ROOT);
+  private int contentLength(int headerEnd) throws SipParseException {
+    String header = new String(buffer, 0, headerEnd, StandardCharsets.ISO_8859_1);
+    String lower = header.toLowerCase(Locale.ROOT);
     int found = -1;
     for (String name : new String[] {"content-length", "l"}) {
       for (int at = lower.indexOf("\n" + name); at >= 0; at = lower.indexOf("\n" + name, at + 1)) {
         int colon = at + 1 + name.length();
-        while (colon < end && (head.charAt(colon) == ' ' || head.charAt(colon) == '\t')) {
+        while (colon < headerEnd && (header.charAt(colon) == ' ' || header.charAt(colon) == '\t')) {
           colon++;
         }
-        if (head.charAt(colon) == ':') {
-          found = value(head, colon + 1, found);
+        if (header.charAt(colon) == ':') {
+          found = parseContentLength(header, colon + 1, found);
         }
       }
     }
     return Math.max(0, found);
   }
 
-  private int value(String head, int from, int before) throws SipParseException {
-    int lineEnd = head.indexOf('\n', from);
-    long length = Scan.number(head.substring(from, lineEnd).trim(), Integer.MAX_VALUE);
-    if (length < 0 || before >= 0 && before != length) {
-      throw new SipParseException(400, "Content-Length is no number or stands twice");
+  private int parseContentLength(String header, int from, int previous) throws SipParseException {
+    int lineEnd = header.indexOf('\n', from);
+    long length =
+        HeaderScanner.parseNumber(header.substring(from, lineEnd).trim(), Integer.MAX_VALUE);
+    if (length < 0 || previous >= 0 && previous != length) {
+      throw new SipParseException(
+          400, "Content-Length is not a number or has two different values");
     }
-    if (length > maxBody) {
-      throw new SipParseException(513, "body longer than " + maxBody + " octets");
+    if (length > maxBodyBytes) {
+      throw new SipParseException(513, "body longer than " + maxBodyBytes + " octets");
     }
     return (int) length;
   }
 
-  private void drop(int count) {
-    System.arraycopy(buffer, count, buffer, 0, held - count);
-    held -= count;
-    scanned = 0;
-    if (held == 0 && buffer.length > 65536) {
+  private void discard(int count) {
+    System.arraycopy(buffer, count, buffer, 0, buffered - count);
+    buffered -= count;
+    scannedBytes = 0;
+    if (buffered == 0 && buffer.length > 65536) {
       buffer = new byte[2048];
     }
   }
--- a/sip/src/main/java/coveladder/sip/Transport.java
+++ b/sip/src/main/java/coveladder/sip/Transport.java
@@ -2,22 +2,25 @@
 
 import java.util.Locale;
 
-/** A transport of RFC 3261 section 18. */
+/** A transport protocol (RFC 3261 section 18). */
 public enum Transport {
-  /** Datagrams: no order, no delivery assured, one message each. */
+  /** Datagrams of one message each; neither order nor delivery is guaranteed. */
   UDP,
-  /** Streams: ordered, framed by Content-Length. */
+  /** Ordered streams, in which messages are framed by Content-Length. */
   TCP;
 
-  /** Whether messages are neither lost nor reordered, so that no request is repeated. */
+  /** Whether messages are neither lost nor reordered, so that none need be retransmitted. */
   public boolean isReliable() {
     return this == TCP;
   }
 
-  /** Reads the name as Via and URIs write it, in any case; null where it is none of ours. */
-  public static Transport fromName(String text) {
+  /**
+   * Returns the transport of that name, in upper or lower case, as in Via and URIs; null if
+   * unknown.
+   */
+  public static Transport fromName(String name) {
     for (Transport transport : values()) {
-      if (transport.name().equals(text.toUpperCase(Locale.ROOT))) {
+      if (transport.name().equals(name.toUpperCase(Locale.ROOT))) {
         return transport;
       }
     }
--- a/sip/src/main/java/coveladder/sip/Via.java
+++ b/sip/src/main/java/coveladder/sip/Via.java
@@ -5,42 +5,46 @@
  *
  * @param transport the transport as written
  * @param host sent-by host, IPv6 without brackets
- * @param port sent-by port, 0 where none is written
- * @param params its parameters: branch, received, rport, oc
+ * @param port sent-by port, 0 if none is given
+ * @param params the Via parameters, for example branch, received, rport and oc
  */
 public record Via(String transport, String host, int port, Params params) {
-  /** What every branch of RFC 3261 begins with. */
+  /** Prefix of every branch that conforms to RFC 3261 (section 8.1.1.7). */
   public static final String MAGIC_COOKIE = "z9hG4bK";
 
-  /** Reads one Via value; null where it is none. */
+  /** Parses one Via value; returns null if the text is not one. */
   public static Via parse(String text) {
-    int semicolon = Scan.find(text, ';', 0);
+    int semicolon = HeaderScanner.indexOfUnquoted(text, ';', 0);
     String head = text.substring(0, semicolon);
-    int slash = head.lastIndexOf('/');
-    int first = head.indexOf('/');
-    if (first <= 0 || slash == first) {
+    int lastSlash = head.lastIndexOf('/');
+    int firstSlash = head.indexOf('/');
+    if (firstSlash <= 0 || lastSlash == firstSlash) {
       return null;
     }
-    String rest = head.substring(slash + 1).trim();
-    int blank = 0;
-    while (blank < rest.length() && rest.charAt(blank) > ' ') {
-      blank++;
+    String rest = head.substring(lastSlash + 1).trim();
+    int transportEnd = 0;
+    while (transportEnd < rest.length() && rest.charAt(transportEnd) > ' ') {
+      transportEnd++;
     }
-    HostPort place = HostPort.parse(rest.substring(blank));
-    boolean sip = head.substring(0, first).trim().equalsIgnoreCase("SIP");
-    boolean two = head.substring(first + 1, slash).trim().equals("2.0");
+    HostPort sentBy = HostPort.parse(rest.substring(transportEnd));
+    boolean isSip = head.substring(0, firstSlash).trim().equalsIgnoreCase("SIP");
+    boolean isVersion2 = head.substring(firstSlash + 1, lastSlash).trim().equals("2.0");
     String params = semicolon < text.length() ? text.substring(semicolon + 1) : "";
-    return place == null || !sip || !two || !Scan.token(rest.substring(0, blank))
+    return sentBy == null
+            || !isSip
+            || !isVersion2
+            || !HeaderScanner.isToken(rest.substring(0, transportEnd))
         ? null
-        : new Via(rest.substring(0, blank), place.host(), place.port(), Params.parse(params));
+        : new Via(
+            rest.substring(0, transportEnd), sentBy.host(), sentBy.port(), Params.parse(params));
   }
 
-  /** The branch; null if there is none. */
+  /** The branch parameter; null if there is none. */
   public String branch() {
     return params.get("branch");
   }
 
-  /** Whether the branch is one of RFC 3261, with more behind the cookie. */
+  /** Whether the branch conforms to RFC 3261: the magic cookie followed by a unique value. */
   public boolean hasRfc3261Branch() {
     String branch = branch();
     return branch != null
@@ -48,17 +52,22 @@
         && branch.startsWith(MAGIC_COOKIE);
   }
 
-  /** The port that is meant where none is written. */
+  /** The sent-by port, or the default port if none is given. */
   public int portOrDefault() {
     return port == 0 ? 5060 : port;
   }
 
-  /** Where a response goes by a datagram (RFC 3261 section 18.2.2, RFC 3581 section 4). */
-  public Hop responseHop(Transport by) {
+  /**
+   * The destination of a response sent as a datagram (RFC 3261 section 18.2.2, RFC 3581 section 4).
+   */
+  public Hop responseHop(Transport responseTransport) {
     String received = params.get("received");
     String rport = params.get("rport");
-    long seen = rport == null ? -1 : Scan.number(rport, 65535);
-    return new Hop(by, received == null ? host : received, seen > 0 ? (int) seen : portOrDefault());
+    long sourcePort = rport == null ? -1 : HeaderScanner.parseNumber(rport, 65535);
+    return new Hop(
+        responseTransport,
+        received == null ? host : received,
+        sourcePort > 0 ? (int) sourcePort : portOrDefault());
   }
 
   @Override
--- a/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
+++ b/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
@@ -10,7 +10,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** No input makes the parser throw anything but its own error, and what it reads it writes back. */
+/**
+ * For any input the parser throws nothing but its own exception, and a message that it accepts is
+ * the same after it was serialized and parsed again.
+ */
 class ParserFuzzTest {
   private static final String[] PIECES = {
     "INVITE sip:a@b SIP/2.0\r\n",
@@ -49,22 +52,22 @@
   }
 
   @Property(tries = 5_000, seed = "42")
-  void anythingIsReadOrRefused(@ForAll("messages") String text) {
+  void anyInputIsParsedOrRejected(@ForAll("messages") String text) {
     byte[] octets = text.getBytes(StandardCharsets.ISO_8859_1);
     try {
       SipMessage message = new SipParser(32).parse(octets);
       byte[] written = message.toBytes();
-      SipMessage again = new SipParser(64).parse(written);
-      assertEquals(message.startLine(), again.startLine());
-      assertEquals(message.callId(), again.callId());
-      assertEquals(message.bodyText(), again.bodyText());
+      SipMessage reparsed = new SipParser(64).parse(written);
+      assertEquals(message.startLine(), reparsed.startLine());
+      assertEquals(message.callId(), reparsed.callId());
+      assertEquals(message.bodyText(), reparsed.bodyText());
     } catch (SipParseException e) {
       assertTrue(e.status() >= 400 && e.status() < 600);
     }
   }
 
   @Property(tries = 2_000, seed = "43")
-  void aStackTakesAnythingWithoutHarm(@ForAll("messages") String text) {
+  void stackLeavesNoTransactionAfterAnyInput(@ForAll("messages") String text) {
     FakeNet net = new FakeNet(1);
     FakeNet.Box box = net.box("b");
     box.stack.receive(
--- a/sip/src/test/java/coveladder/sip/SipParserTest.java
+++ b/sip/src/test/java/coveladder/sip/SipParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class SipParserTest {
-  static final String HEAD =
+  static final String INVITE_HEADERS =
       "INVITE sip:bob@example.com SIP/2.0\r\n"
           + "Via: SIP/2.0/UDP 10.0.0.1:5070;branch=z9hG4bKa;rport\r\n"
           + "Max-Forwards: 70\r\n"
@@ -25,18 +25,18 @@
   }
 
   @Test
-  void aRequestIsReadAndWrittenBack() throws SipParseException {
-    SipRequest request = (SipRequest) parse(HEAD + "Content-Length: 4\r\n\r\nbody");
+  void requestIsParsedAndSerializedUnchanged() throws SipParseException {
+    SipRequest request = (SipRequest) parse(INVITE_HEADERS + "Content-Length: 4\r\n\r\nbody");
     assertEquals("INVITE", request.method());
     assertEquals("sip:bob@example.com", request.uri());
     assertEquals("body", request.bodyText());
     assertEquals("z9hG4bKa", request.via().branch());
     String written = new String(request.toBytes(), StandardCharsets.ISO_8859_1);
-    assertEquals(HEAD + "Content-Length: 4\r\n\r\nbody", written);
+    assertEquals(INVITE_HEADERS + "Content-Length: 4\r\n\r\nbody", written);
   }
 
   @Test
-  void compactFormsAndFoldingMeanTheSame() throws SipParseException {
+  void compactFormsAndFoldingAreEquivalent() throws SipParseException {
     SipMessage message =
         parse(
             "INVITE sip:b@x SIP/2.0\r\nv: SIP/2.0/TCP h\r\nf: <sip:a@x>;tag=1\r\n"
@@ -48,10 +48,10 @@
   }
 
   @Test
-  void valuesOnOneLineAndOnManyAreTheSame() throws SipParseException {
+  void commaSeparatedAndRepeatedHeadersAreEquivalent() throws SipParseException {
     SipMessage message =
         parse(
-            HEAD
+            INVITE_HEADERS
                 + "Route: <sip:a;lr>, \"x, y\" <sip:b,c;lr>\r\nRoute: <sip:d;lr>\r\n"
                 + "Via: SIP/2.0/UDP first, SIP/2.0/UDP second\r\n\r\n");
     assertEquals(
@@ -62,9 +62,10 @@
   }
 
   @Test
-  void unknownFieldsAndMethodsAreKept() throws SipParseException {
+  void unknownHeadersAndMethodsArePreserved() throws SipParseException {
     SipRequest request =
-        (SipRequest) parse(HEAD.replace("INVITE", "NEWMETHOD") + "X-Odd: \u00e9 kept\r\n\r\n");
+        (SipRequest)
+            parse(INVITE_HEADERS.replace("INVITE", "NEWMETHOD") + "X-Odd: \u00e9 kept\r\n\r\n");
     assertEquals("NEWMETHOD", request.method());
     assertEquals("\u00e9 kept", request.header("x-odd"));
     String written = new String(request.toBytes(), StandardCharsets.ISO_8859_1);
@@ -72,48 +73,50 @@
   }
 
   @Test
-  void octetsBehindTheBodyOfADatagramAreDropped() throws SipParseException {
-    SipMessage message = parse(HEAD + "Content-Length: 2\r\n\r\nabcd");
+  void octetsAfterTheBodyOfADatagramAreDropped() throws SipParseException {
+    SipMessage message = parse(INVITE_HEADERS + "Content-Length: 2\r\n\r\nabcd");
     assertArrayEquals(new byte[] {'a', 'b'}, message.body());
   }
 
   @Test
-  void whatCannotBeReadSaysWhatIsWrongAndWhatToAnswer() {
-    assertProblem(400, "Content-Length", HEAD + "Content-Length: 9\r\n\r\nx");
-    assertProblem(400, "Content-Length", HEAD + "Content-Length: -9\r\n\r\nx");
-    assertProblem(400, "CSeq", HEAD.replace("1 INVITE", "36893488147419103232 INVITE") + "\r\n");
-    assertProblem(400, "CSeq names OPTIONS", HEAD.replace("1 INVITE", "1 OPTIONS") + "\r\n");
-    assertProblem(400, "Max-Forwards", HEAD.replace(": 70", ": 300") + "\r\n");
-    assertProblem(400, "From more than once", HEAD + "From: <sip:x@y>\r\n\r\n");
-    assertProblem(505, "version", HEAD.replace("com SIP/2.0", "com SIP/7.0") + "\r\n");
+  void malformedRequestsReportProblemStatusAndRequest() {
+    assertProblem(400, "Content-Length", INVITE_HEADERS + "Content-Length: 9\r\n\r\nx");
+    assertProblem(400, "Content-Length", INVITE_HEADERS + "Content-Length: -9\r\n\r\nx");
+    assertProblem(
+        400, "CSeq", INVITE_HEADERS.replace("1 INVITE", "36893488147419103232 INVITE") + "\r\n");
+    assertProblem(
+        400, "CSeq names OPTIONS", INVITE_HEADERS.replace("1 INVITE", "1 OPTIONS") + "\r\n");
+    assertProblem(400, "Max-Forwards", INVITE_HEADERS.replace(": 70", ": 300") + "\r\n");
+    assertProblem(400, "From more than once", INVITE_HEADERS + "From: <sip:x@y>\r\n\r\n");
+    assertProblem(505, "version", INVITE_HEADERS.replace("com SIP/2.0", "com SIP/7.0") + "\r\n");
   }
 
-  private static void assertProblem(int status, String what, String text) {
+  private static void assertProblem(int status, String expectedText, String text) {
     SipParseException e = assertThrows(SipParseException.class, () -> parse(text));
     assertEquals(status, e.status());
-    assertTrue(e.getMessage().contains(what), e.getMessage());
-    assertEquals("c1", e.answerable().callId());
+    assertTrue(e.getMessage().contains(expectedText), e.getMessage());
+    assertEquals("c1", e.answerableRequest().callId());
   }
 
   @Test
-  void whatDeservesNoAnswerGetsNone() {
+  void unanswerableMessagesCarryNoRequest() {
     for (String text : new String[] {"", "\r\n", "hello\r\n\r\n", "SIP/2.0 99 x\r\n\r\n"}) {
-      assertNull(assertThrows(SipParseException.class, () -> parse(text)).answerable());
+      assertNull(assertThrows(SipParseException.class, () -> parse(text)).answerableRequest());
     }
-    String ack = HEAD.replace("INVITE", "ACK") + "Content-Length: 5\r\n\r\n";
-    assertNull(assertThrows(SipParseException.class, () -> parse(ack)).answerable());
+    String ack = INVITE_HEADERS.replace("INVITE", "ACK") + "Content-Length: 5\r\n\r\n";
+    assertNull(assertThrows(SipParseException.class, () -> parse(ack)).answerableRequest());
   }
 
   @Test
-  void headerLinesAreBounded() {
-    String many = HEAD + "X: y\r\n".repeat(60) + "\r\n";
-    assertThrows(SipParseException.class, () -> parse(many));
-    String folded = HEAD + "X: y\r\n" + " z\r\n".repeat(60) + "\r\n";
-    assertThrows(SipParseException.class, () -> parse(folded));
+  void headerLineCountIsBounded() {
+    String manyHeaders = INVITE_HEADERS + "X: y\r\n".repeat(60) + "\r\n";
+    assertThrows(SipParseException.class, () -> parse(manyHeaders));
+    String manyFoldedLines = INVITE_HEADERS + "X: y\r\n" + " z\r\n".repeat(60) + "\r\n";
+    assertThrows(SipParseException.class, () -> parse(manyFoldedLines));
   }
 
   @Test
-  void urisAreTakenApart() {
+  void urisAreSplitIntoTheirParts() {
     SipUri uri = SipUri.parse("SIP:a%20b;c=d@[2001:db8::9]:5070;transport=tcp;lr?x=y");
     assertEquals("2001:db8::9", uri.host());
     assertEquals("a%20b;c=d", uri.user());
--- a/sip/src/test/java/coveladder/sip/StreamFramerTest.java
+++ b/sip/src/test/java/coveladder/sip/StreamFramerTest.java
@@ -20,7 +20,7 @@
         octets,
         from,
         count,
-        m -> messages.add(new String(m, StandardCharsets.ISO_8859_1)),
+        message -> messages.add(new String(message, StandardCharsets.ISO_8859_1)),
         () -> pings++);
   }
 
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void anyCutOfAStreamGivesTheSameMessages() throws SipParseException {
+  void anySplitOfAStreamYieldsTheSameMessages() throws SipParseException {
     String one = "A b SIP/2.0\r\nContent-Length : 5\r\nX: l: 9\r\n\r\nab\r\n\r";
     String two = "B c SIP/2.0\r\nl:0\r\n\r\n";
     String three = "C d SIP/2.0\r\nNo-Length: 1\r\n\r\n";
@@ -51,20 +51,23 @@
   }
 
   @Test
-  void whatIsTooLongEndsTheStream() {
-    byte[] head = bytes("A b SIP/2.0\r\n" + "x".repeat(200));
+  void oversizedHeaderOrBodyAndInvalidLengthAreRejected() {
+    byte[] longHeader = bytes("A b SIP/2.0\r\n" + "x".repeat(200));
     assertThrows(
-        SipParseException.class, () -> feed(new StreamFramer(100, 100), head, 0, head.length));
-    byte[] body = bytes("A b SIP/2.0\r\nContent-Length: 101\r\n\r\n");
+        SipParseException.class,
+        () -> feed(new StreamFramer(100, 100), longHeader, 0, longHeader.length));
+    byte[] longBody = bytes("A b SIP/2.0\r\nContent-Length: 101\r\n\r\n");
     assertThrows(
-        SipParseException.class, () -> feed(new StreamFramer(100, 100), body, 0, body.length));
-    byte[] none = bytes("A b SIP/2.0\r\nContent-Length: many\r\n\r\n");
+        SipParseException.class,
+        () -> feed(new StreamFramer(100, 100), longBody, 0, longBody.length));
+    byte[] invalidLength = bytes("A b SIP/2.0\r\nContent-Length: many\r\n\r\n");
     assertThrows(
-        SipParseException.class, () -> feed(new StreamFramer(100, 100), none, 0, none.length));
+        SipParseException.class,
+        () -> feed(new StreamFramer(100, 100), invalidLength, 0, invalidLength.length));
   }
 
   @Test
-  void neverMoreWaitsThanItsBound() {
+  void bufferStaysWithinItsBound() {
     SplittableRandom random = new SplittableRandom(9);
     for (int round = 0; round < 500; round++) {
       StreamFramer framer = new StreamFramer(300, 200);
