--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -125,14 +125,14 @@
     }
 
     private void giveUp(CallLeg leg) {
-      if (leg.outstanding()) {
+      if (leg.isOutstanding()) {
         print("patience is over: CANCEL");
         leg.cancel(null);
       }
     }
 
     @Override
-    public void heard(CallLeg leg, SipResponse response) {
+    public void responseReceived(CallLeg leg, SipResponse response) {
       print(response.startLine());
       for (String hop : response.headers("History-Info")) {
         print("    by way of " + hop);
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -186,7 +186,8 @@
     Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().malformedMessages())
         .register(meters);
     Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::heldBack).register(meters);
-    Gauge.builder("coveladder.transactions", front, f -> f.stack().userAgent().layer().size())
+    Gauge.builder(
+            "coveladder.transactions", front, f -> f.stack().userAgent().transactionLayer().size())
         .register(meters);
   }
 
--- a/sip/src/main/java/coveladder/sip/AbstractSipNode.java
+++ b/sip/src/main/java/coveladder/sip/AbstractSipNode.java
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public void taken(CallLeg leg) {}
+  public void callAccepted(CallLeg leg) {}
 
   @Override
   public void request(ServerTransaction transaction, SipRequest request) {
--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -35,14 +35,14 @@
   private SipHost.Timer repeat;
   private SipHost.Timer give;
   private double gap;
-  private boolean releasing;
+  private boolean isReleasing;
   private boolean ownReinvite;
   private boolean theirReinvite;
   private ReinviteAnswers reackOwed;
   private Hop place;
   private ReinviteOk reinviteOk;
 
-  /** Makes the caller's side; the INVITE leaves by {@link #launch}. */
+  /** Makes the caller's side; the INVITE leaves by {@link #sendInvite}. */
   CallLeg(UserAgent agent, SipRequest invite, CallListener listener) {
     this.agent = agent;
     this.caller = true;
@@ -143,36 +143,38 @@
   }
 
   /** Time since the INVITE came to this machine, ms. */
-  public double waited(double now) {
+  public double millisSinceInvite(double now) {
     return now - server.arrived();
   }
 
   /** Whether an INVITE or final answer is still awaited from the other side. */
-  public boolean outstanding() {
+  public boolean isOutstanding() {
     return caller && (state == State.CALLING || state == State.CANCELLING);
   }
 
   // ---- Caller's side ------------------------------------------------------------------------
 
   void prepare(Hop hop) {
-    client = (InviteClientTransaction) agent.layer().prepare(invite, hop, new InviteAnswers());
+    client =
+        (InviteClientTransaction)
+            agent.transactionLayer().prepare(invite, hop, new InviteAnswers());
   }
 
   /** Sends the INVITE of a leg that {@link UserAgent#prepare} made ready. */
-  public void launch() {
-    agent.layer().begin(client);
+  public void sendInvite() {
+    agent.transactionLayer().begin(client);
   }
 
   /** Hears the answers to the first INVITE. */
   private final class InviteAnswers implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
-      listener.heard(CallLeg.this, response);
+      listener.responseReceived(CallLeg.this, response);
       if (response.isProvisional()) {
         provisional(response);
       } else if (response.isSuccess()) {
         success(response);
-      } else if (outstanding()) {
+      } else if (isOutstanding()) {
         end();
         listener.rejected(CallLeg.this, response);
       }
@@ -180,7 +182,7 @@
 
     @Override
     public void failed(Failure failure) {
-      if (outstanding()) {
+      if (isOutstanding()) {
         end();
         listener.failed(CallLeg.this, failure);
       }
@@ -203,10 +205,10 @@
 
   /** Guards against answers that cross our CANCEL, repeats, and a second answer by a fork. */
   private void success(SipResponse response) {
-    boolean first = dialog == null || outstanding();
+    boolean first = dialog == null || isOutstanding();
     if (state == State.CANCELLING) {
       dialog(Dialog.ofCaller(invite, response));
-      releasing = true;
+      isReleasing = true;
       agent.release(invite, response, this::released);
       end();
       listener.answeredLate(this, response);
@@ -336,7 +338,7 @@
 
   void cancelled() {
     if (!caller && state == State.CALLING) {
-      listener.cancelling(this, () -> reject(response(487)));
+      listener.cancelRequested(this, () -> reject(response(487)));
     }
   }
 
@@ -353,18 +355,18 @@
         bye.add("Reason", reason);
       }
       end();
-      releasing = true;
+      isReleasing = true;
       agent.send(bye, dialog.hop(), new ByeAnswers());
     }
   }
 
   /** Whether our BYE is out and not answered. */
-  public boolean releasing() {
-    return releasing;
+  public boolean isReleasing() {
+    return isReleasing;
   }
 
   private void released() {
-    releasing = false;
+    isReleasing = false;
     listener.released(this);
   }
 
@@ -458,7 +460,7 @@
   }
 
   /** Acknowledges a re-INVITE whose 2xx held the offer, with the answer to it. */
-  public void reack(SipMessage from) {
+  public void acknowledgeReinvite(SipMessage from) {
     if (reackOwed != null) {
       ReinviteAnswers owed = reackOwed;
       reackOwed = null;
--- a/sip/src/main/java/coveladder/sip/CallListener.java
+++ b/sip/src/main/java/coveladder/sip/CallListener.java
@@ -10,7 +10,7 @@
    * Caller's side: any answer at all to the INVITE, before anything else is made of it. Load
    * figures ride on every one of them.
    */
-  default void heard(CallLeg leg, SipResponse response) {}
+  default void responseReceived(CallLeg leg, SipResponse response) {}
 
   /** Caller's side: the call is answered. {@link CallLeg#ack} is owed. */
   default void answered(CallLeg leg, SipResponse response) {}
@@ -30,7 +30,7 @@
    *
    * @param answer sends the 487
    */
-  default void cancelling(CallLeg leg, Runnable answer) {
+  default void cancelRequested(CallLeg leg, Runnable answer) {
     answer.run();
     cancelled(leg);
   }
@@ -39,7 +39,7 @@
   default void cancelled(CallLeg leg) {}
 
   /** Callee's side, after a restart: an INVITE that had no answer came again. */
-  default void repeated(CallLeg leg) {}
+  default void inviteRetransmitted(CallLeg leg) {}
 
   /** Callee's side: the ACK to the 2xx came. */
   default void acknowledged(CallLeg leg, SipRequest ack) {}
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -73,11 +73,11 @@
   /**
    * What has changed since the messages that made the dialog: own and other's number, target.
    *
-   * @param local last own number
-   * @param remote last number of the other side
-   * @param target where requests go
+   * @param localSequence last own number
+   * @param remoteSequence last number of the other side
+   * @param remoteTarget where requests go
    */
-  public record Progress(long local, long remote, String target) {
+  public record Progress(long localSequence, long remoteSequence, String remoteTarget) {
 
     /**
      * The same in a later life of this side. Own numbers jump past all that a life before may have
@@ -85,8 +85,8 @@
      *
      * @param life number of that life, from 1 on; it grows with each
      */
-    public Progress inLife(int life) {
-      return new Progress(local + LIFE_JUMP * life, remote, target);
+    public Progress forIncarnation(int life) {
+      return new Progress(localSequence + LIFE_JUMP * life, remoteSequence, remoteTarget);
     }
   }
 
@@ -97,9 +97,9 @@
 
   /** Goes on from what was kept. */
   public void resume(Progress kept) {
-    localSeq = kept.local();
-    remoteSeq = kept.remote();
-    target = kept.target();
+    localSeq = kept.localSequence();
+    remoteSeq = kept.remoteSequence();
+    target = kept.remoteTarget();
   }
 
   /** The key that requests from the other side find this dialog by. */
--- a/sip/src/main/java/coveladder/sip/SipStack.java
+++ b/sip/src/main/java/coveladder/sip/SipStack.java
@@ -58,11 +58,13 @@
       return;
     }
     try {
-      userAgent.layer().receive(from, parser.parse(message), arrivedAtMillis);
+      userAgent.transactionLayer().receive(from, parser.parse(message), arrivedAtMillis);
     } catch (SipParseException e) {
       malformedMessages++;
       if (e.answerableRequest() != null) {
-        userAgent.layer().refuseUnread(from, e.answerableRequest(), e.status(), e.getMessage());
+        userAgent
+            .transactionLayer()
+            .rejectMalformed(from, e.answerableRequest(), e.status(), e.getMessage());
       }
     }
   }
@@ -78,6 +80,6 @@
 
   /** Handles a connection that could not be established or was lost. */
   public void connectionFailed(Hop hop, Failure failure) {
-    userAgent.layer().failed(hop, failure);
+    userAgent.transactionLayer().connectionFailed(hop, failure);
   }
 }
--- a/sip/src/main/java/coveladder/sip/Subscriber.java
+++ b/sip/src/main/java/coveladder/sip/Subscriber.java
@@ -88,7 +88,7 @@
     request.add("Contact", agent.contact(hop));
     request.add("Event", event);
     request.add("Expires", Integer.toString(seconds));
-    agent.sendAlone(request, hop, new Answers(callId));
+    agent.sendOutsideDialog(request, hop, new Answers(callId));
   }
 
   /** Hears the answers to one SUBSCRIBE. */
@@ -135,7 +135,7 @@
   }
 
   /** Takes a NOTIFY if it is of this subscription, and answers it; whether it was. */
-  public boolean take(ServerTransaction transaction, SipRequest notify) {
+  public boolean receiveNotify(ServerTransaction transaction, SipRequest notify) {
     if (callId == null || !callId.equals(notify.callId())) {
       return false;
     }
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -317,7 +317,7 @@
   }
 
   /** Answers a request that could not be read whole, without a transaction. */
-  public void refuseUnread(Hop from, SipRequest request, int status, String phrase) {
+  public void rejectMalformed(Hop from, SipRequest request, int status, String phrase) {
     Transport by = from.transport();
     Hop to = by.isReliable() ? from : request.via().responseHop(by);
     host.send(to, request.response(status, phrase).toBytes());
@@ -373,7 +373,7 @@
   // ---- Transport errors ---------------------------------------------------------------------
 
   /** A connection could not be made, or broke. Each transaction that hangs on it hears of it. */
-  public void failed(Hop hop, Failure failure) {
+  public void connectionFailed(Hop hop, Failure failure) {
     for (ClientTransaction client : snapshot(byConnection.get(hop))) {
       client.lost(failure);
     }
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -28,7 +28,7 @@
 
   private final SipHost host;
   private final Timing timing;
-  private final TransactionLayer layer;
+  private final TransactionLayer transactionLayer;
   private final Owner owner;
   private final Map<String, CallLeg> legs = new HashMap<>();
   private final Map<String, Runnable> asleep = new HashMap<>();
@@ -42,7 +42,7 @@
     CallListener incoming(CallLeg leg);
 
     /** A new call's leg, right after {@link #incoming} took it. */
-    void taken(CallLeg leg);
+    void callAccepted(CallLeg leg);
 
     /** A request outside all dialogs, or a NOTIFY; an answer is owed. */
     void request(ServerTransaction transaction, SipRequest request);
@@ -53,12 +53,12 @@
     this.host = host;
     this.timing = timing;
     this.owner = owner;
-    this.layer = new TransactionLayer(host, timing, most, this);
+    this.transactionLayer = new TransactionLayer(host, timing, most, this);
   }
 
   /** The transactions. */
-  public TransactionLayer layer() {
-    return layer;
+  public TransactionLayer transactionLayer() {
+    return transactionLayer;
   }
 
   Timing timing() {
@@ -89,7 +89,7 @@
    */
   public CallLeg call(SipRequest invite, Hop hop, CallListener listener) {
     CallLeg leg = prepare(invite, hop, listener);
-    leg.launch();
+    leg.sendInvite();
     return leg;
   }
 
@@ -114,14 +114,14 @@
   }
 
   /** Sends a request outside all dialogs. */
-  public void sendAlone(SipRequest request, Hop hop, ClientTransaction.Listener answers) {
+  public void sendOutsideDialog(SipRequest request, Hop hop, ClientTransaction.Listener answers) {
     if (request.fromTag() == null) {
       request.set("From", request.header("From") + ";tag=" + newTag());
     }
     if (request.callId() == null) {
       fill(request, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
     }
-    layer.send(request, hop, answers);
+    transactionLayer.send(request, hop, answers);
   }
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -132,17 +132,17 @@
    *
    * @param key a dialog's, or that of the INVITE as it may come again
    */
-  public void expect(String key, Runnable wake) {
+  public void deferRestore(String key, Runnable wake) {
     asleep.put(key, wake);
   }
 
   /** Expects it no more. */
-  public void expectNot(String key) {
+  public void cancelDeferredRestore(String key) {
     asleep.remove(key);
   }
 
   /** Key of an INVITE outside of a dialog, whichever way it comes again. */
-  public static String repeatKey(String callId, String fromTag) {
+  public static String initialInviteKey(String callId, String fromTag) {
     return callId + ' ' + fromTag;
   }
 
@@ -179,7 +179,7 @@
       boolean acknowledged,
       Dialog.Progress kept,
       CallListener listener) {
-    InviteServerTransaction server = layer.revive(invite, source);
+    InviteServerTransaction server = transactionLayer.revive(invite, source);
     CallLeg leg = new CallLeg(this, server, answered.toTag(), listener);
     if (acknowledged) {
       server.takeAsAccepted();
@@ -189,18 +189,18 @@
   }
 
   /** Takes up an INVITE that had no final answer, with the tag that its leg had. */
-  public CallLeg resumeUnanswered(
+  public CallLeg resumePending(
       SipRequest invite, Hop source, String localTag, CallListener listener) {
-    InviteServerTransaction server = layer.revive(invite, source);
+    InviteServerTransaction server = transactionLayer.revive(invite, source);
     CallLeg leg = new CallLeg(this, server, localTag, listener);
-    server.whenRepeated(() -> listener.repeated(leg));
+    server.whenRepeated(() -> listener.inviteRetransmitted(leg));
     taken.put(server, leg);
     return leg;
   }
 
   /** Calls off an INVITE that may have left, as sent; {@code over} runs once that is over. */
-  public void callOff(SipRequest invite, Hop hop, Runnable over) {
-    layer.callOff(invite, hop, new Revived(invite, over));
+  public void cancelAfterRestart(SipRequest invite, Hop hop, Runnable over) {
+    transactionLayer.callOff(invite, hop, new Revived(invite, over));
   }
 
   /** Hears of an INVITE that was called off after a restart. */
@@ -238,13 +238,13 @@
     if (hop == null) {
       answers.failed(Failure.REFUSED);
     } else {
-      layer.send(request, hop, answers);
+      transactionLayer.send(request, hop, answers);
     }
   }
 
   void sendAck(SipRequest ack, Hop hop) {
     if (hop != null) {
-      layer.sendAck(ack, hop);
+      transactionLayer.sendAck(ack, hop);
     }
   }
 
@@ -367,7 +367,7 @@
   private void begin(ServerTransaction transaction) {
     SipRequest invite = transaction.request();
     Runnable wake =
-        asleep.isEmpty() ? null : asleep.get(repeatKey(invite.callId(), invite.fromTag()));
+        asleep.isEmpty() ? null : asleep.get(initialInviteKey(invite.callId(), invite.fromTag()));
     if (wake != null) {
       // It stands since a life before: its repeat is no second call, and was answered.
       wake.run();
@@ -379,7 +379,7 @@
     router.listener = owner.incoming(leg);
     if (router.listener != null) {
       taken.put(transaction, leg);
-      owner.taken(leg);
+      owner.callAccepted(leg);
     }
   }
 
@@ -388,8 +388,8 @@
     private CallListener listener;
 
     @Override
-    public void cancelling(CallLeg leg, Runnable answer) {
-      listener.cancelling(leg, answer);
+    public void cancelRequested(CallLeg leg, Runnable answer) {
+      listener.cancelRequested(leg, answer);
     }
 
     @Override
--- a/sip/src/test/java/coveladder/sip/FakeNet.java
+++ b/sip/src/test/java/coveladder/sip/FakeNet.java
@@ -13,7 +13,7 @@
 /** A network of a few stacks in virtual time; a message takes 5 ms, and a filter may lose it. */
 final class FakeNet {
   final List<Sent> sent = new ArrayList<>();
-  final Map<String, Box> boxes = new HashMap<>();
+  final Map<String, Endpoint> boxes = new HashMap<>();
   Predicate<Sent> loses = s -> false;
   double now;
   private final PriorityQueue<Due> queue = new PriorityQueue<>();
@@ -34,8 +34,8 @@
     }
   }
 
-  Box box(String name) {
-    return boxes.computeIfAbsent(name, Box::new);
+  Endpoint endpoint(String name) {
+    return boxes.computeIfAbsent(name, Endpoint::new);
   }
 
   SipHost.Timer at(double delay, Runnable task) {
@@ -62,7 +62,7 @@
   }
 
   /** One element with its stack. */
-  final class Box implements SipHost, UserAgent.Owner {
+  final class Endpoint implements SipHost, UserAgent.Owner {
     final String name;
     final SipStack stack;
     final List<SipRequest> requests = new ArrayList<>();
@@ -70,7 +70,7 @@
     final List<String> events = new ArrayList<>();
     CallListener listener = new Notes();
 
-    Box(String name) {
+    Endpoint(String name) {
       this.name = name;
       this.stack = new SipStack(this, Timing.STANDARD, new SipStack.Limits(64, 100), this);
     }
@@ -148,7 +148,7 @@
       }
       Sent made = new Sent(name, to, new String(message, StandardCharsets.ISO_8859_1), now);
       sent.add(made);
-      Box other = boxes.get(to.host());
+      Endpoint other = boxes.get(to.host());
       if (other != null && !loses.test(made)) {
         Hop source = new Hop(to.transport(), name, 5060);
         at(5, () -> other.stack.receive(source, message));
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public void taken(CallLeg leg) {}
+    public void callAccepted(CallLeg leg) {}
 
     @Override
     public void request(ServerTransaction transaction, SipRequest request) {
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -13,13 +13,13 @@
   private static final Hop TO_B = new Hop(Transport.UDP, "b", 5060);
 
   private final FakeNet net = new FakeNet(8);
-  private final FakeNet.Box a = net.box("a");
-  private final FakeNet.Box b = net.box("b");
+  private final FakeNet.Endpoint a = net.endpoint("a");
+  private final FakeNet.Endpoint b = net.endpoint("b");
 
   /** Puts an element without memory in the place of one. */
-  private FakeNet.Box restart(String name) {
+  private FakeNet.Endpoint restart(String name) {
     net.boxes.remove(name);
-    return net.box(name);
+    return net.endpoint(name);
   }
 
   private static SipMessage parse(String text) {
@@ -49,7 +49,7 @@
   @Test
   void aCallerGoesOnAndReleases() {
     Dialog.Progress kept = standing().progress();
-    FakeNet.Box again = restart("a");
+    FakeNet.Endpoint again = restart("a");
     CallLeg leg = again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     leg.bye(null);
     net.run(100);
@@ -59,7 +59,7 @@
   @Test
   void aCallerGoesOnAndIsReleased() {
     Dialog.Progress kept = standing().progress();
-    FakeNet.Box again = restart("a");
+    FakeNet.Endpoint again = restart("a");
     again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     b.calls.get(0).bye(null);
     net.run(100);
@@ -70,7 +70,7 @@
   void aCallerWhoseAckWasLostWithItAcknowledgesTheRepeat() {
     net.loses = s -> s.text().startsWith("ACK") && s.at() < 100;
     Dialog.Progress kept = standing().progress();
-    FakeNet.Box again = restart("a");
+    FakeNet.Endpoint again = restart("a");
     again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
     net.run(2_000);
     assertEquals(List.of("acknowledged"), b.events);
@@ -84,7 +84,7 @@
     net.loses = s -> s.text().startsWith("SIP/2.0 200");
     b.calls.get(0).accept(b.calls.get(0).response(200));
     Dialog.Progress kept = b.calls.get(0).progress();
-    FakeNet.Box again = restart("b");
+    FakeNet.Endpoint again = restart("b");
     net.loses = s -> false;
     again
         .stack
@@ -107,7 +107,7 @@
   void aCalleeWhoseAckHadComeKeepsTheCallForLong() {
     standing();
     Dialog.Progress kept = b.calls.get(0).progress();
-    FakeNet.Box again = restart("b");
+    FakeNet.Endpoint again = restart("b");
     CallLeg leg =
         again
             .stack
@@ -129,12 +129,12 @@
   void aRepeatOfAnInviteThatWasCutShortFindsItsAnswer() {
     a.call("b", Transport.UDP);
     net.run(20);
-    FakeNet.Box again = restart("b");
+    FakeNet.Endpoint again = restart("b");
     CallLeg leg =
         again
             .stack
             .userAgent()
-            .resumeUnanswered((SipRequest) parse(received("INVITE")), TO_A, "kept", again.listener);
+            .resumePending((SipRequest) parse(received("INVITE")), TO_A, "kept", again.listener);
     net.run(600);
     assertEquals(0, again.calls.size());
     leg.reject(leg.response(503));
@@ -145,10 +145,10 @@
 
   private int ends;
 
-  private FakeNet.Box calledOff() {
+  private FakeNet.Endpoint calledOff() {
     SipRequest invite = invite();
-    FakeNet.Box again = restart("a");
-    again.stack.userAgent().callOff(invite, TO_B, () -> ends++);
+    FakeNet.Endpoint again = restart("a");
+    again.stack.userAgent().cancelAfterRestart(invite, TO_B, () -> ends++);
     return again;
   }
 
--- a/sip/src/test/java/coveladder/sip/TortureTest.java
+++ b/sip/src/test/java/coveladder/sip/TortureTest.java
@@ -14,7 +14,7 @@
  */
 class TortureTest {
   private final FakeNet net = new FakeNet(1);
-  private final FakeNet.Box box = net.box("b");
+  private final FakeNet.Endpoint box = net.endpoint("b");
 
   /**
    * Returns the status of the response to a message, 0 if it was accepted, -1 if it was dropped.
--- a/sip/src/test/java/coveladder/sip/TransactionsTest.java
+++ b/sip/src/test/java/coveladder/sip/TransactionsTest.java
@@ -10,8 +10,8 @@
 /** Two stacks on a network that loses what the test wants lost. */
 class TransactionsTest {
   private final FakeNet net = new FakeNet(3);
-  private final FakeNet.Box a = net.box("a");
-  private final FakeNet.Box b = net.box("b");
+  private final FakeNet.Endpoint a = net.endpoint("a");
+  private final FakeNet.Endpoint b = net.endpoint("b");
 
   private CallLeg answeredCall(Transport by) {
     CallLeg leg = a.call("b", by);
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -74,7 +74,7 @@
 
   void launch() {
     launched = true;
-    attemptLeg.launch();
+    attemptLeg.sendInvite();
   }
 
   /**
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void heard(CallLeg leg, SipResponse response) {
+    public void responseReceived(CallLeg leg, SipResponse response) {
       front.learnLoad(response);
     }
 
@@ -173,7 +173,7 @@
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      caller.reack(ack);
+      caller.acknowledgeReinvite(ack);
     }
 
     @Override
@@ -199,7 +199,7 @@
   /** Hears of the caller. */
   private final class CallerSide implements CallListener {
     @Override
-    public void cancelling(CallLeg leg, Runnable answer) {
+    public void cancelRequested(CallLeg leg, Runnable answer) {
       front.callerLeaves(
           id,
           () -> {
@@ -217,7 +217,7 @@
         ackOwed = false;
         attemptLeg.ack(ack);
       } else if (attemptLeg != null) {
-        attemptLeg.reack(ack);
+        attemptLeg.acknowledgeReinvite(ack);
       }
     }
 
@@ -297,7 +297,7 @@
 
   /** Whether a BYE of either leg is out and not answered. */
   boolean releasing() {
-    return attemptLeg != null && attemptLeg.releasing() || caller.releasing();
+    return attemptLeg != null && attemptLeg.isReleasing() || caller.isReleasing();
   }
 
   /** Whether nothing is left to do for the call. */
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -54,9 +54,9 @@
       data.writeBoolean(acknowledged);
       data.writeBoolean(progress != null);
       if (progress != null) {
-        data.writeLong(progress.local());
-        data.writeLong(progress.remote());
-        data.writeUTF(progress.target());
+        data.writeLong(progress.localSequence());
+        data.writeLong(progress.remoteSequence());
+        data.writeUTF(progress.remoteTarget());
       }
       data.writeLong(session);
       data.writeInt(invite.length);
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -115,7 +115,7 @@
     LegRecord to = LegRecord.readHead(saved.attemptLeg());
     boolean owes = owed && !from.acknowledged();
     asleep.put(saved.id(), new Asleep(saved, owes, life));
-    keys(from, to).forEach(key -> front.agent().expect(key, () -> wake(saved.id())));
+    keys(from, to).forEach(key -> front.agent().deferRestore(key, () -> wake(saved.id())));
     if (owes) {
       wake(saved.id());
     } else if (to.session() > 0) {
@@ -124,7 +124,7 @@
   }
 
   private static List<String> keys(LegRecord from, LegRecord to) {
-    String repeat = UserAgent.repeatKey(from.callId(), from.remoteTag());
+    String repeat = UserAgent.initialInviteKey(from.callId(), from.remoteTag());
     return List.of(from.dialogKey(), to.dialogKey(), repeat);
   }
 
@@ -149,7 +149,7 @@
     SavedCall saved = was.saved();
     LegRecord from = LegRecord.read(saved.callerLeg());
     LegRecord to = LegRecord.read(saved.attemptLeg());
-    keys(from, to).forEach(front.agent()::expectNot);
+    keys(from, to).forEach(front.agent()::cancelDeferredRestore);
     Bridge bridge = new Bridge(front, saved.id(), saved.call().transit(), null);
     front.hold(saved.id(), bridge);
     CallLeg caller =
@@ -160,7 +160,8 @@
                 from.hop(),
                 from.response(),
                 !was.owes(),
-                (from.progress() == null ? begun(from) : from.progress()).inLife(was.life()),
+                (from.progress() == null ? begun(from) : from.progress())
+                    .forIncarnation(was.life()),
                 bridge.callerSide());
     CallLeg attempt =
         front
@@ -169,7 +170,7 @@
                 to.request(),
                 to.hop(),
                 to.response(),
-                to.progress().inLife(was.life()),
+                to.progress().forIncarnation(was.life()),
                 bridge.attemptSide(saved.attempt()));
     bridge.resume(caller, attempt, saved.attempt(), to.session());
     return bridge;
@@ -226,7 +227,7 @@
   @Override
   public void callOff(SavedCall saved, Runnable over) {
     LegRecord to = LegRecord.read(saved.attemptLeg());
-    front.agent().callOff(to.request(), to.hop(), over);
+    front.agent().cancelAfterRestart(to.request(), to.hop(), over);
   }
 
   @Override
@@ -236,18 +237,18 @@
     CallListener waits =
         new CallListener() {
           @Override
-          public void cancelling(CallLeg leg, Runnable answer) {
+          public void cancelRequested(CallLeg leg, Runnable answer) {
             whenCalledOff.accept(answer);
           }
 
           @Override
-          public void repeated(CallLeg leg) {
+          public void inviteRetransmitted(CallLeg leg) {
             whenRepeated.run();
             // One that gets no other answer hears this, so that it can call off.
             leg.progress(leg.response(100));
           }
         };
-    CallLeg leg = front.agent().resumeUnanswered(from.request(), from.hop(), from.tag(), waits);
+    CallLeg leg = front.agent().resumePending(from.request(), from.hop(), from.tag(), waits);
     expected.put(saved.id(), leg);
     front
         .host()
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -116,7 +116,7 @@
     }
     this.list = subscriber(LIST_EVENT, settings.listServer(), new ListWatcher());
     this.circuits = subscriber(CIRCUIT_EVENT, settings.ownSwitch(), new CircuitWatcher());
-    stack.userAgent().layer().offerOverloadControl();
+    stack.userAgent().transactionLayer().offerOverloadControl();
   }
 
   /**
@@ -304,7 +304,7 @@
   }
 
   @Override
-  public void taken(CallLeg leg) {
+  public void callAccepted(CallLeg leg) {
     Bridge bridge = taking;
     SipRequest invite = leg.invite();
     SipUri uri = SipUri.parse(invite.uri());
@@ -332,7 +332,7 @@
   private double patience(CallLeg leg) {
     String written = leg.invite().header("Expires");
     double whole = written == null ? settings.patience() : 1000.0 * Long.parseLong(written);
-    return Math.max(0, whole - leg.waited(host.now()) - settings.answerMargin());
+    return Math.max(0, whole - leg.millisSinceInvite(host.now()) - settings.answerMargin());
   }
 
   /** A call that the own switch hands over came from another exchange: it is in transit. */
@@ -435,7 +435,7 @@
     SipRequest options = request("OPTIONS", exchange.address());
     options.add("Accept", "application/json");
     Hop hop = SipUri.parse(exchange.address()).hop();
-    agent().sendAlone(options, hop, new ProbeAnswers(exchange.id(), askedAt));
+    agent().sendOutsideDialog(options, hop, new ProbeAnswers(exchange.id(), askedAt));
   }
 
   private SipRequest request(String method, String uri) {
@@ -484,7 +484,7 @@
             "<sip:" + controller.settings().localExchange() + '@' + settings.domain() + '>');
         message.set("Content-Type", "application/octet-stream");
         message.body(payload);
-        agent().sendAlone(message, own, ClientTransaction.Listener.IGNORE);
+        agent().sendOutsideDialog(message, own, ClientTransaction.Listener.IGNORE);
       }
     }
   }
@@ -500,7 +500,8 @@
   public void request(ServerTransaction transaction, SipRequest request) {
     switch (request.method()) {
       case "NOTIFY" -> {
-        if (!list.take(transaction, request) && !circuits.take(transaction, request)) {
+        if (!list.receiveNotify(transaction, request)
+            && !circuits.receiveNotify(transaction, request)) {
           transaction.respond(request.response(481));
         }
       }
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -158,7 +158,7 @@
     }
 
     private void giveUp() {
-      if (leg.outstanding()) {
+      if (leg.isOutstanding()) {
         leg.cancel(null);
         last = 0;
         again(0);
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -71,7 +71,7 @@
     notifier = new Notifier(stack.userAgent(), host, "circuit-groups", 64);
     epoch = stack.userAgent().newTag();
     version = 0;
-    stack.userAgent().layer().reportOverload(this::load);
+    stack.userAgent().transactionLayer().reportOverload(this::load);
   }
 
   @Override
@@ -271,7 +271,7 @@
   }
 
   @Override
-  public void taken(CallLeg leg) {
+  public void callAccepted(CallLeg leg) {
     SwitchCall call = taking;
     if (takingTo == null) {
       leg.progress(leg.response(180));
--- a/standin/src/main/java/coveladder/standin/SwitchCall.java
+++ b/standin/src/main/java/coveladder/standin/SwitchCall.java
@@ -61,7 +61,7 @@
         ackOwed = false;
         out.ack(ack);
       } else if (out != null) {
-        out.reack(ack);
+        out.acknowledgeReinvite(ack);
       }
     }
 
@@ -133,7 +133,7 @@
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      in.reack(ack);
+      in.acknowledgeReinvite(ack);
     }
 
     @Override
