--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -21,74 +21,78 @@
     ENDED
   }
 
-  private final UserAgent agent;
-  private final boolean caller;
+  private final UserAgent userAgent;
+  private final boolean isCaller;
   private SipRequest invite;
   private final CallListener listener;
   private final String localTag;
   private State state = State.CALLING;
   private Dialog dialog;
-  private InviteClientTransaction client;
-  private ServerTransaction server;
+  private InviteClientTransaction clientTransaction;
+  private ServerTransaction serverTransaction;
   private SipRequest ack;
-  private SipResponse ok;
-  private SipHost.Timer repeat;
-  private SipHost.Timer give;
-  private double gap;
-  private boolean isReleasing;
-  private boolean ownReinvite;
-  private boolean theirReinvite;
-  private ReinviteAnswers reackOwed;
-  private Hop place;
-  private ReinviteOk reinviteOk;
+  private SipResponse okResponse;
+  private SipHost.Timer retransmitTimer;
+  private SipHost.Timer ackTimeoutTimer;
+  private double retransmitIntervalMillis;
+  private boolean releasing;
+  private boolean localReinvitePending;
+  private boolean remoteReinvitePending;
+  private ReinviteResponseListener reinviteAwaitingAck;
+  private Hop peerHop;
+  private ReinviteOkRetransmitter unacknowledgedReinviteOk;
 
   /** Makes the caller's side; the INVITE leaves by {@link #sendInvite}. */
-  CallLeg(UserAgent agent, SipRequest invite, CallListener listener) {
-    this.agent = agent;
-    this.caller = true;
+  CallLeg(UserAgent userAgent, SipRequest invite, CallListener listener) {
+    this.userAgent = userAgent;
+    this.isCaller = true;
     this.invite = invite;
     this.listener = listener;
     this.localTag = invite.fromTag();
   }
 
   /** Makes the callee's side. */
-  CallLeg(UserAgent agent, ServerTransaction server, String localTag, CallListener listener) {
-    this.agent = agent;
-    this.caller = false;
-    this.invite = server.request();
-    this.server = server;
+  CallLeg(
+      UserAgent userAgent,
+      ServerTransaction serverTransaction,
+      String localTag,
+      CallListener listener) {
+    this.userAgent = userAgent;
+    this.isCaller = false;
+    this.invite = serverTransaction.request();
+    this.serverTransaction = serverTransaction;
     this.listener = listener;
     this.localTag = localTag;
   }
 
   /** Goes on, as caller, with a call that stood before a restart. */
-  void resume(Hop hop, SipResponse answered, Dialog.Progress kept) {
-    place = hop;
-    dialog(Dialog.ofCaller(invite, answered));
-    dialog.resume(kept);
+  void resume(Hop hop, SipResponse okResponse, Dialog.Progress stored) {
+    peerHop = hop;
+    replaceDialog(Dialog.ofCaller(invite, okResponse));
+    dialog.resume(stored);
     state = State.CONFIRMED;
   }
 
   /**
    * Goes on, as callee, with a call that stood before a restart.
    *
-   * @param answered the 2xx, sent again until its ACK comes; null where that had come
+   * @param okResponse the 2xx, sent again until its ACK comes; null where that had come
    */
-  void resume(String to, SipResponse answered, Dialog.Progress kept) {
-    place = server.source();
-    dialog(Dialog.ofCallee(invite, to, agent.contact(place)));
-    if (answered == null) {
+  void resume(String toHeader, SipResponse okResponse, Dialog.Progress stored) {
+    peerHop = serverTransaction.source();
+    replaceDialog(Dialog.ofCallee(invite, toHeader, userAgent.contact(peerHop)));
+    if (okResponse == null) {
       state = State.CONFIRMED;
     } else {
-      accept(answered);
+      accept(okResponse);
     }
-    dialog.resume(kept);
+    dialog.resume(stored);
   }
 
   /** A 2xx that came again although its transaction is over: the other side missed the ACK. */
-  void strayOk(SipResponse response) {
-    if (caller && state == State.CONFIRMED) {
-      agent.sendAck(dialog.ack(response.cseq().number()), dialog.hop());
+  void handleRetransmittedOk(SipResponse response) {
+    if (isCaller && state == State.CONFIRMED) {
+      userAgent.sendAck(dialog.ack(response.cseq().number()), dialog.hop());
     }
   }
 
@@ -114,66 +118,66 @@
 
   /** Where the INVITE went or came from. */
   public Hop hop() {
-    if (place != null) {
-      return place;
+    if (peerHop != null) {
+      return peerHop;
     }
-    return caller ? client.hop() : server.source();
+    return isCaller ? clientTransaction.hop() : serverTransaction.source();
   }
 
   /**
    * Once the INVITE's transaction is over nothing can ask for what it said: a call that stands for
    * long keeps its dialog only.
    */
-  private void settle() {
+  private void discardInviteTransaction() {
     if (state == State.CONFIRMED) {
-      place = hop();
+      peerHop = hop();
       invite = null;
-      client = null;
-      server = null;
+      clientTransaction = null;
+      serverTransaction = null;
       ack = null;
-      ok = null;
-      repeat = null;
-      give = null;
+      okResponse = null;
+      retransmitTimer = null;
+      ackTimeoutTimer = null;
     }
   }
 
   /** Own Contact on this leg. */
   public String contact() {
-    return agent.contact(hop());
+    return userAgent.contact(hop());
   }
 
   /** Time since the INVITE came to this machine, ms. */
-  public double millisSinceInvite(double now) {
-    return now - server.arrived();
+  public double millisSinceInvite(double nowMillis) {
+    return nowMillis - serverTransaction.arrivalMillis();
   }
 
   /** Whether an INVITE or final answer is still awaited from the other side. */
   public boolean isOutstanding() {
-    return caller && (state == State.CALLING || state == State.CANCELLING);
+    return isCaller && (state == State.CALLING || state == State.CANCELLING);
   }
 
   // ---- Caller's side ------------------------------------------------------------------------
 
   void prepare(Hop hop) {
-    client =
+    clientTransaction =
         (InviteClientTransaction)
-            agent.transactionLayer().prepare(invite, hop, new InviteAnswers());
+            userAgent.transactionLayer().prepare(invite, hop, new InviteResponseListener());
   }
 
   /** Sends the INVITE of a leg that {@link UserAgent#prepare} made ready. */
   public void sendInvite() {
-    agent.transactionLayer().begin(client);
+    userAgent.transactionLayer().begin(clientTransaction);
   }
 
   /** Hears the answers to the first INVITE. */
-  private final class InviteAnswers implements ClientTransaction.Listener {
+  private final class InviteResponseListener implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
       listener.responseReceived(CallLeg.this, response);
       if (response.isProvisional()) {
-        provisional(response);
+        handleProvisional(response);
       } else if (response.isSuccess()) {
-        success(response);
+        handleSuccess(response);
       } else if (isOutstanding()) {
         end();
         listener.rejected(CallLeg.this, response);
@@ -189,59 +193,59 @@
     }
 
     @Override
-    public void over() {
-      settle();
+    public void terminated() {
+      discardInviteTransaction();
     }
   }
 
-  private void provisional(SipResponse response) {
+  private void handleProvisional(SipResponse response) {
     if (response.status() > 100 && state == State.CALLING) {
       if (dialog == null && response.toTag() != null) {
-        dialog(Dialog.ofCaller(invite, response));
+        replaceDialog(Dialog.ofCaller(invite, response));
       }
       listener.progress(this, response);
     }
   }
 
   /** Guards against answers that cross our CANCEL, repeats, and a second answer by a fork. */
-  private void success(SipResponse response) {
+  private void handleSuccess(SipResponse response) {
     boolean first = dialog == null || isOutstanding();
     if (state == State.CANCELLING) {
-      dialog(Dialog.ofCaller(invite, response));
-      isReleasing = true;
-      agent.release(invite, response, this::released);
+      replaceDialog(Dialog.ofCaller(invite, response));
+      releasing = true;
+      userAgent.release(invite, response, this::notifyReleased);
       end();
       listener.answeredLate(this, response);
     } else if (first && state == State.CALLING) {
-      dialog(Dialog.ofCaller(invite, response));
+      replaceDialog(Dialog.ofCaller(invite, response));
       state = State.ANSWERED;
       listener.answered(this, response);
     } else if (dialog == null || !dialog.remoteTag().equals(response.toTag())) {
-      agent.release(invite, response, () -> {});
+      userAgent.release(invite, response, () -> {});
     } else if (ack != null) {
-      agent.sendAgain(ack, dialog.hop());
+      userAgent.resendAck(ack, dialog.hop());
     }
   }
 
   /**
    * Acknowledges the 2xx.
    *
-   * @param from message whose body goes along, an answer to an offer in the 2xx; or null
+   * @param bodySource message whose body goes along, an answer to an offer in the 2xx; or null
    */
-  public void ack(SipMessage from) {
-    if (caller && state == State.ANSWERED) {
+  public void ack(SipMessage bodySource) {
+    if (isCaller && state == State.ANSWERED) {
       state = State.CONFIRMED;
       ack = dialog.ack(invite.cseq().number());
-      copyBody(from, ack);
-      agent.sendAck(ack, dialog.hop());
+      copyBody(bodySource, ack);
+      userAgent.sendAck(ack, dialog.hop());
     }
   }
 
   /** Calls the INVITE off; a late 2xx is released at once. */
   public void cancel(String reason) {
-    if (caller && state == State.CALLING) {
+    if (isCaller && state == State.CALLING) {
       state = State.CANCELLING;
-      client.cancel(reason);
+      clientTransaction.cancel(reason);
     }
   }
 
@@ -256,62 +260,63 @@
   public SipResponse response(int status, String phrase) {
     SipResponse response = invite.response(status, phrase);
     if (status > 100) {
-      response.set("To", tagged(invite.header("To")));
+      response.set("To", withLocalTag(invite.header("To")));
     }
     if (status < 300 && status > 100) {
       response.copyHeaders("Record-Route", invite);
-      response.add("Contact", agent.contact(server.source()));
+      response.add("Contact", userAgent.contact(serverTransaction.source()));
     }
     return response;
   }
 
-  private String tagged(String to) {
-    NameAddr address = NameAddr.parse(to);
+  private String withLocalTag(String toHeader) {
+    NameAddr address = NameAddr.parse(toHeader);
     if (address.tag() != null) {
-      return to;
+      return toHeader;
     }
-    return to + ";tag=" + localTag;
+    return toHeader + ";tag=" + localTag;
   }
 
   /** Sends a provisional answer, made by {@link #response}. */
   public void progress(SipResponse response) {
-    if (!caller && state == State.CALLING) {
-      early(response);
-      server.respond(response);
+    if (!isCaller && state == State.CALLING) {
+      createEarlyDialog(response);
+      serverTransaction.respond(response);
     }
   }
 
-  private void early(SipResponse response) {
+  private void createEarlyDialog(SipResponse response) {
     if (dialog == null && response.status() > 100) {
-      String contact = agent.contact(server.source());
-      dialog(Dialog.ofCallee(invite, response.header("To"), contact));
+      String contact = userAgent.contact(serverTransaction.source());
+      replaceDialog(Dialog.ofCallee(invite, response.header("To"), contact));
     }
   }
 
   /** Answers with a 2xx, made by {@link #response}; it is repeated until the ACK comes. */
   public void accept(SipResponse response) {
-    if (!caller && state == State.CALLING) {
-      early(response);
+    if (!isCaller && state == State.CALLING) {
+      createEarlyDialog(response);
       state = State.ANSWERED;
-      ok = response;
-      agent.answered(server);
-      gap = agent.timing().t1();
-      server.whenOver(this::settle);
-      server.respond(response);
-      repeat = agent.after(gap, this::repeatOk);
-      give = agent.after(agent.timing().transactionTimeout(), this::neverAcknowledged);
+      okResponse = response;
+      userAgent.inviteAnswered(serverTransaction);
+      retransmitIntervalMillis = userAgent.timing().t1();
+      serverTransaction.onTermination(this::discardInviteTransaction);
+      serverTransaction.respond(response);
+      retransmitTimer = userAgent.schedule(retransmitIntervalMillis, this::retransmitOk);
+      ackTimeoutTimer =
+          userAgent.schedule(userAgent.timing().transactionTimeout(), this::handleAckTimeout);
     }
   }
 
-  private void repeatOk() {
+  private void retransmitOk() {
     if (state == State.ANSWERED) {
-      server.respond(ok);
-      gap = Math.min(2 * gap, agent.timing().t2());
-      repeat = agent.after(gap, this::repeatOk);
+      serverTransaction.respond(okResponse);
+      retransmitIntervalMillis = Math.min(2 * retransmitIntervalMillis, userAgent.timing().t2());
+      retransmitTimer = userAgent.schedule(retransmitIntervalMillis, this::retransmitOk);
     }
   }
 
-  private void neverAcknowledged() {
+  private void handleAckTimeout() {
     if (state == State.ANSWERED) {
       bye(null);
       listener.ended(this, null);
@@ -320,9 +325,9 @@
 
   /** Answers with a final response other than 2xx; the leg is over. */
   public void reject(SipResponse response) {
-    if (!caller && state == State.CALLING) {
+    if (!isCaller && state == State.CALLING) {
       end();
-      server.respond(response);
+      serverTransaction.respond(response);
     }
   }
 
@@ -330,14 +335,14 @@
    * Lets go of an INVITE that will not be answered here; its caller had its answer, or has left.
    */
   public void abandon() {
-    if (!caller && state == State.CALLING) {
+    if (!isCaller && state == State.CALLING) {
       end();
-      ((InviteServerTransaction) server).abandon();
+      ((InviteServerTransaction) serverTransaction).abandon();
     }
   }
 
-  void cancelled() {
-    if (!caller && state == State.CALLING) {
+  void handleCancel() {
+    if (!isCaller && state == State.CALLING) {
       listener.cancelRequested(this, () -> reject(response(487)));
     }
   }
@@ -347,7 +352,7 @@
   /** Ends an answered call; {@code reason} is the value of a Reason field, or null. */
   public void bye(String reason) {
     if (state == State.ANSWERED || state == State.CONFIRMED) {
-      if (caller && state == State.ANSWERED) {
+      if (isCaller && state == State.ANSWERED) {
         ack(null);
       }
       SipRequest bye = dialog.request("BYE");
@@ -355,33 +360,33 @@
         bye.add("Reason", reason);
       }
       end();
-      isReleasing = true;
-      agent.send(bye, dialog.hop(), new ByeAnswers());
+      releasing = true;
+      userAgent.send(bye, dialog.hop(), new ByeResponseListener());
     }
   }
 
   /** Whether our BYE is out and not answered. */
   public boolean isReleasing() {
-    return isReleasing;
+    return releasing;
   }
 
-  private void released() {
-    isReleasing = false;
+  private void notifyReleased() {
+    releasing = false;
     listener.released(this);
   }
 
   /** Hears of the end of our BYE, whatever it is. */
-  private final class ByeAnswers implements ClientTransaction.Listener {
+  private final class ByeResponseListener implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
       if (!response.isProvisional()) {
-        released();
+        notifyReleased();
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      released();
+      notifyReleased();
     }
   }
 
@@ -389,39 +394,45 @@
    * Sends a request within the dialog; INVITE and UPDATE among them. Whether it could be sent: not
    * without a dialog, nor an INVITE while another is under way (RFC 3261 section 14.1).
    *
-   * @param like message whose body and end-to-end fields are copied
+   * @param source message whose body and end-to-end fields are copied
    */
-  public boolean send(String method, SipMessage like, ClientTransaction.Listener answers) {
-    return send(method, like, null, answers);
+  public boolean send(
+      String method, SipMessage source, ClientTransaction.Listener responseListener) {
+    return send(method, source, null, responseListener);
   }
 
   /** The same with the value of a RAck field (RFC 3262), or null. */
   public boolean send(
-      String method, SipMessage like, String rack, ClientTransaction.Listener answers) {
+      String method, SipMessage source, String rack, ClientTransaction.Listener responseListener) {
     boolean reinvite = method.equals("INVITE");
-    if (dialog == null || state == State.ENDED || reinvite && (ownReinvite || theirReinvite)) {
+    if (dialog == null
+        || state == State.ENDED
+        || reinvite && (localReinvitePending || remoteReinvitePending)) {
       return false;
     }
     SipRequest request = dialog.request(method);
-    EndToEndHeaders.copy(like, request);
+    EndToEndHeaders.copy(source, request);
     if (rack != null) {
       request.add("RAck", rack);
     }
-    ownReinvite |= reinvite;
-    agent.send(request, dialog.hop(), reinvite ? new ReinviteAnswers(request, answers) : answers);
+    localReinvitePending |= reinvite;
+    userAgent.send(
+        request,
+        dialog.hop(),
+        reinvite ? new ReinviteResponseListener(request, responseListener) : responseListener);
     return true;
   }
 
   /** Hears the answers to a re-INVITE and sees that each is acknowledged. */
-  private final class ReinviteAnswers implements ClientTransaction.Listener {
-    private final SipRequest sent;
-    private final ClientTransaction.Listener answers;
+  private final class ReinviteResponseListener implements ClientTransaction.Listener {
+    private final SipRequest reinvite;
+    private final ClientTransaction.Listener delegate;
     private boolean answered;
-    private SipRequest ownAck;
+    private SipRequest reinviteAck;
 
-    ReinviteAnswers(SipRequest sent, ClientTransaction.Listener answers) {
-      this.sent = sent;
-      this.answers = answers;
+    ReinviteResponseListener(SipRequest reinvite, ClientTransaction.Listener delegate) {
+      this.reinvite = reinvite;
+      this.delegate = delegate;
     }
 
     @Override
@@ -435,37 +446,37 @@
       if (response.isSuccess()) {
         dialog.refresh(response);
         answered = true;
-        ownAck = dialog.ack(sent.cseq().number());
-        boolean offered = sent.body().length == 0 && response.body().length > 0;
-        reackOwed = offered ? this : null;
+        reinviteAck = dialog.ack(reinvite.cseq().number());
+        boolean offered = reinvite.body().length == 0 && response.body().length > 0;
+        reinviteAwaitingAck = offered ? this : null;
         if (!offered) {
           acknowledge();
         }
       }
-      ownReinvite &= response.isProvisional();
-      answers.response(response);
+      localReinvitePending &= response.isProvisional();
+      delegate.response(response);
     }
 
     private void acknowledge() {
-      if (reackOwed != this) {
-        agent.sendAgain(ownAck, dialog.hop());
+      if (reinviteAwaitingAck != this) {
+        userAgent.resendAck(reinviteAck, dialog.hop());
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      ownReinvite = false;
-      answers.failed(failure);
+      localReinvitePending = false;
+      delegate.failed(failure);
     }
   }
 
   /** Acknowledges a re-INVITE whose 2xx held the offer, with the answer to it. */
-  public void acknowledgeReinvite(SipMessage from) {
-    if (reackOwed != null) {
-      ReinviteAnswers owed = reackOwed;
-      reackOwed = null;
-      copyBody(from, owed.ownAck);
-      owed.acknowledge();
+  public void acknowledgeReinvite(SipMessage bodySource) {
+    if (reinviteAwaitingAck != null) {
+      ReinviteResponseListener pendingReinvite = reinviteAwaitingAck;
+      reinviteAwaitingAck = null;
+      copyBody(bodySource, pendingReinvite.reinviteAck);
+      pendingReinvite.acknowledge();
     }
   }
 
@@ -478,24 +489,24 @@
 
   void receive(ServerTransaction transaction, SipRequest request) {
     if (dialog.receive(request)) {
-      inOrder(transaction, request);
+      handleInOrder(transaction, request);
     } else {
       transaction.respond(request.response(500));
     }
   }
 
-  private void inOrder(ServerTransaction transaction, SipRequest request) {
+  private void handleInOrder(ServerTransaction transaction, SipRequest request) {
     if (request.is("BYE")) {
       transaction.respond(request.response(200));
-      theyLeft(request);
-    } else if (request.is("INVITE") && (ownReinvite || state == State.ANSWERED)) {
+      handleBye(request);
+    } else if (request.is("INVITE") && (localReinvitePending || state == State.ANSWERED)) {
       transaction.respond(request.response(491));
-    } else if (request.is("INVITE") && (theirReinvite || state != State.CONFIRMED)) {
-      SipResponse wait = request.response(500);
-      wait.add("Retry-After", "1");
-      transaction.respond(wait);
+    } else if (request.is("INVITE") && (remoteReinvitePending || state != State.CONFIRMED)) {
+      SipResponse retryLater = request.response(500);
+      retryLater.add("Retry-After", "1");
+      transaction.respond(retryLater);
     } else {
-      theirReinvite |= request.is("INVITE");
+      remoteReinvitePending |= request.is("INVITE");
       listener.request(this, transaction, request);
     }
   }
@@ -503,85 +514,85 @@
   /** Answers a re-INVITE that {@link CallListener#request} brought. */
   public void answerReinvite(ServerTransaction transaction, SipResponse response) {
     if (!response.isProvisional()) {
-      theirReinvite = false;
+      remoteReinvitePending = false;
       if (response.isSuccess()) {
-        new ReinviteOk(transaction, response).send();
+        new ReinviteOkRetransmitter(transaction, response).start();
       }
     }
     transaction.respond(response);
   }
 
   /** Repeats a 2xx to a re-INVITE until its ACK, over UDP and TCP alike. */
-  private final class ReinviteOk {
+  private final class ReinviteOkRetransmitter {
     private final ServerTransaction transaction;
     private final SipResponse response;
-    private double pause = agent.timing().t1();
-    private double spent;
+    private double intervalMillis = userAgent.timing().t1();
+    private double elapsedMillis;
 
-    ReinviteOk(ServerTransaction transaction, SipResponse response) {
+    ReinviteOkRetransmitter(ServerTransaction transaction, SipResponse response) {
       this.transaction = transaction;
       this.response = response;
     }
 
-    void send() {
-      reinviteOk = this;
-      agent.after(pause, this::again);
+    void start() {
+      unacknowledgedReinviteOk = this;
+      userAgent.schedule(intervalMillis, this::retransmit);
     }
 
-    private void again() {
-      spent += pause;
-      if (reinviteOk == this
+    private void retransmit() {
+      elapsedMillis += intervalMillis;
+      if (unacknowledgedReinviteOk == this
           && state == State.CONFIRMED
-          && spent < agent.timing().transactionTimeout()) {
+          && elapsedMillis < userAgent.timing().transactionTimeout()) {
         transaction.respond(response);
-        pause = Math.min(2 * pause, agent.timing().t2());
-        agent.after(pause, this::again);
+        intervalMillis = Math.min(2 * intervalMillis, userAgent.timing().t2());
+        userAgent.schedule(intervalMillis, this::retransmit);
       }
     }
   }
 
-  private void theyLeft(SipRequest bye) {
-    if (state == State.CALLING && !caller) {
-      cancelled();
+  private void handleBye(SipRequest bye) {
+    if (state == State.CALLING && !isCaller) {
+      handleCancel();
     } else if (state == State.ANSWERED || state == State.CONFIRMED) {
       end();
       listener.ended(this, bye);
     }
   }
 
-  void acknowledged(SipRequest received) {
-    boolean first = state == State.ANSWERED && !caller;
+  void handleAck(SipRequest ackRequest) {
+    boolean first = state == State.ANSWERED && !isCaller;
     if (first) {
       state = State.CONFIRMED;
-      ok = null;
-      repeat.cancel();
-      give.cancel();
+      okResponse = null;
+      retransmitTimer.cancel();
+      ackTimeoutTimer.cancel();
     }
-    if (first || reinviteOk != null) {
-      reinviteOk = null;
-      listener.acknowledged(this, received);
+    if (first || unacknowledgedReinviteOk != null) {
+      unacknowledgedReinviteOk = null;
+      listener.acknowledged(this, ackRequest);
     }
   }
 
-  private void dialog(Dialog made) {
+  private void replaceDialog(Dialog newDialog) {
     if (dialog != null) {
-      agent.forget(dialog);
+      userAgent.unregister(dialog);
     }
-    dialog = made;
-    agent.remember(dialog, this);
+    dialog = newDialog;
+    userAgent.register(dialog, this);
   }
 
   private void end() {
     state = State.ENDED;
-    if (repeat != null) {
-      repeat.cancel();
-      give.cancel();
+    if (retransmitTimer != null) {
+      retransmitTimer.cancel();
+      ackTimeoutTimer.cancel();
     }
     if (dialog != null) {
-      agent.forget(dialog);
+      userAgent.unregister(dialog);
     }
-    if (server != null) {
-      agent.answered(server);
+    if (serverTransaction != null) {
+      userAgent.inviteAnswered(serverTransaction);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/CallListener.java
+++ b/sip/src/main/java/coveladder/sip/CallListener.java
@@ -28,10 +28,10 @@
    * Callee's side: the caller called off. It is answered and told as {@link #cancelled}, unless the
    * owner has something to do before the answer leaves.
    *
-   * @param answer sends the 487
+   * @param sendResponse sends the 487
    */
-  default void cancelRequested(CallLeg leg, Runnable answer) {
-    answer.run();
+  default void cancelRequested(CallLeg leg, Runnable sendResponse) {
+    sendResponse.run();
     cancelled(leg);
   }
 
--- a/sip/src/main/java/coveladder/sip/ClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ClientTransaction.java
@@ -8,8 +8,8 @@
   private final SipRequest request;
   private final Listener listener;
   private Hop hop;
-  private byte[] wire;
-  private boolean enlarged;
+  private byte[] encodedRequest;
+  private boolean switchedToTcp;
 
   ClientTransaction(TransactionLayer layer, SipRequest request, Hop hop, Listener listener) {
     this.layer = layer;
@@ -38,7 +38,7 @@
     void failed(Failure failure);
 
     /** The transaction is over: repeats of its answers are no longer taken. */
-    default void over() {}
+    default void terminated() {}
   }
 
   /** The request as it was sent. */
@@ -61,103 +61,103 @@
   abstract void receive(SipResponse response);
 
   /** Whether a final answer is still awaited. */
-  abstract boolean waits();
+  abstract boolean isAwaitingFinalResponse();
 
   /** Enters the last state. */
-  abstract void terminate();
+  abstract void enterTerminatedState();
 
   abstract void stopTimers();
 
   /** The transport could not deliver to this hop, or lost its connection. */
-  void lost(Failure failure) {
-    if (waits()) {
+  void deliveryFailed(Failure failure) {
+    if (isAwaitingFinalResponse()) {
       stopTimers();
-      if (!fellBack(failure)) {
+      if (!fallBackToUdp(failure)) {
         fail(failure);
       }
     }
   }
 
   void timeOut() {
-    if (waits()) {
+    if (isAwaitingFinalResponse()) {
       fail(Failure.TIMED_OUT);
     }
   }
 
   private void fail(Failure failure) {
     finish();
-    tell(failure);
+    notifyListener(failure);
   }
 
   void finish() {
-    terminate();
+    enterTerminatedState();
     stopTimers();
-    layer.over(this);
+    layer.transactionTerminated(this);
   }
 
   /** The request's octets, made once. */
-  byte[] wire() {
-    if (wire == null) {
-      wire = request.toBytes();
+  byte[] encodedRequest() {
+    if (encodedRequest == null) {
+      encodedRequest = request.toBytes();
     }
-    return wire;
+    return encodedRequest;
   }
 
   void transmit() {
-    layer.host().send(hop, wire());
+    layer.host().send(hop, encodedRequest());
   }
 
   /** Goes by TCP as the request is too large for a datagram; it may fall back to UDP. */
-  void enlarge() {
-    enlarged = true;
-    moveTo(hop.withTransport(Transport.TCP));
+  void switchToTcp() {
+    switchedToTcp = true;
+    changeHop(hop.withTransport(Transport.TCP));
   }
 
   /**
    * Goes back to UDP where no connection could be had for a large request (RFC 3261 section
    * 18.1.1); whether it did.
    */
-  boolean fellBack(Failure failure) {
-    if (failure != Failure.REFUSED || !enlarged) {
+  boolean fallBackToUdp(Failure failure) {
+    if (failure != Failure.REFUSED || !switchedToTcp) {
       return false;
     }
-    enlarged = false;
+    switchedToTcp = false;
     layer.unlink(this);
-    moveTo(hop.withTransport(Transport.UDP));
+    changeHop(hop.withTransport(Transport.UDP));
     start();
     return true;
   }
 
-  private void moveTo(Hop other) {
+  private void changeHop(Hop newHop) {
     Via via = request.via();
-    Hop local = layer.host().localHop(other.transport());
-    String named = other.transport().name();
-    request.topVia(new Via(named, local.host(), local.port(), via.params()));
-    hop = other;
-    wire = null;
+    Hop local = layer.host().localHop(newHop.transport());
+    String transportName = newHop.transport().name();
+    request.topVia(new Via(transportName, local.host(), local.port(), via.params()));
+    hop = newHop;
+    encodedRequest = null;
   }
 
-  boolean reliable() {
+  boolean isReliable() {
     return hop.transport().isReliable();
   }
 
-  SipHost.Timer after(double delay, Runnable task) {
-    return layer.host().schedule(delay, task);
+  SipHost.Timer schedule(double delayMillis, Runnable task) {
+    return layer.host().schedule(delayMillis, task);
   }
 
-  void tell(SipResponse response) {
+  void notifyListener(SipResponse response) {
     listener.response(response);
   }
 
-  void tell(Failure failure) {
+  void notifyListener(Failure failure) {
     listener.failed(failure);
   }
 
-  void tellOver() {
-    listener.over();
+  void notifyTerminated() {
+    listener.terminated();
   }
 
-  static void stop(SipHost.Timer timer) {
+  static void cancelTimer(SipHost.Timer timer) {
     if (timer != null) {
       timer.cancel();
     }
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -10,64 +10,73 @@
  * <p>It makes requests within the dialog and keeps the order of those that come in.
  */
 public final class Dialog {
-  private static final long LIFE_JUMP = 1_000;
+  private static final long SEQUENCE_GAP_PER_INCARNATION = 1_000;
 
   private final String callId;
   private final String localTag;
   private final String remoteTag;
-  private final String local;
-  private final String remote;
-  private final List<String> routes;
+  private final String localAddress;
+  private final String remoteAddress;
+  private final List<String> routeSet;
   private final String contact;
-  private String target;
-  private long localSeq;
-  private long remoteSeq;
-
-  private Dialog(String callId, String local, String remote, List<String> routes, String contact) {
+  private String remoteTarget;
+  private long localSequence;
+  private long remoteSequence;
+
+  private Dialog(
+      String callId,
+      String localAddress,
+      String remoteAddress,
+      List<String> routeSet,
+      String contact) {
     this.callId = callId;
-    this.local = local;
-    this.remote = remote;
-    this.localTag = NameAddr.parse(local).tag();
-    this.remoteTag = NameAddr.parse(remote).tag();
-    this.routes = List.copyOf(routes);
+    this.localAddress = localAddress;
+    this.remoteAddress = remoteAddress;
+    this.localTag = NameAddr.parse(localAddress).tag();
+    this.remoteTag = NameAddr.parse(remoteAddress).tag();
+    this.routeSet = List.copyOf(routeSet);
     this.contact = contact;
   }
 
   /** The dialog that a caller has by a response with a tag (section 12.1.2). */
   public static Dialog ofCaller(SipRequest invite, SipResponse response) {
-    List<String> routes = response.headers("Record-Route");
-    Collections.reverse(routes);
+    List<String> routeSet = response.headers("Record-Route");
+    Collections.reverse(routeSet);
     Dialog dialog =
         new Dialog(
             invite.callId(),
             invite.header("From"),
             response.header("To"),
-            routes,
+            routeSet,
             invite.header("Contact"));
-    dialog.localSeq = invite.cseq().number();
-    dialog.remoteSeq = -1;
-    dialog.target = contactOf(response, invite.uri());
+    dialog.localSequence = invite.cseq().number();
+    dialog.remoteSequence = -1;
+    dialog.remoteTarget = contactUri(response, invite.uri());
     return dialog;
   }
 
   /** The dialog that a callee has by its own answer with a tag (section 12.1.1). */
-  public static Dialog ofCallee(SipRequest invite, String to, String contact) {
+  public static Dialog ofCallee(SipRequest invite, String toHeader, String contact) {
     Dialog dialog =
         new Dialog(
-            invite.callId(), to, invite.header("From"), invite.headers("Record-Route"), contact);
-    dialog.localSeq = 0;
-    dialog.remoteSeq = invite.cseq().number();
-    dialog.target = contactOf(invite, dialog.remoteUri());
+            invite.callId(),
+            toHeader,
+            invite.header("From"),
+            invite.headers("Record-Route"),
+            contact);
+    dialog.localSequence = 0;
+    dialog.remoteSequence = invite.cseq().number();
+    dialog.remoteTarget = contactUri(invite, dialog.remoteUri());
     return dialog;
   }
 
-  private static String contactOf(SipMessage message, String absent) {
+  private static String contactUri(SipMessage message, String fallback) {
     NameAddr address = message.addressHeader("Contact");
-    return address == null ? absent : address.uri();
+    return address == null ? fallback : address.uri();
   }
 
   private String remoteUri() {
-    return NameAddr.parse(remote).uri();
+    return NameAddr.parse(remoteAddress).uri();
   }
 
   /**
@@ -83,23 +92,24 @@
      * The same in a later life of this side. Own numbers jump past all that a life before may have
      * used without keeping it; a gap is in order (section 12.2.1.1).
      *
-     * @param life number of that life, from 1 on; it grows with each
+     * @param incarnation number of that life, from 1 on; it grows with each
      */
-    public Progress forIncarnation(int life) {
-      return new Progress(localSequence + LIFE_JUMP * life, remoteSequence, remoteTarget);
+    public Progress forIncarnation(int incarnation) {
+      return new Progress(
+          localSequence + SEQUENCE_GAP_PER_INCARNATION * incarnation, remoteSequence, remoteTarget);
     }
   }
 
   /** What has changed since the dialog was made. */
   public Progress progress() {
-    return new Progress(localSeq, remoteSeq, target);
+    return new Progress(localSequence, remoteSequence, remoteTarget);
   }
 
   /** Goes on from what was kept. */
-  public void resume(Progress kept) {
-    localSeq = kept.localSequence();
-    remoteSeq = kept.remoteSequence();
-    target = kept.remoteTarget();
+  public void resume(Progress stored) {
+    localSequence = stored.localSequence();
+    remoteSequence = stored.remoteSequence();
+    remoteTarget = stored.remoteTarget();
   }
 
   /** The key that requests from the other side find this dialog by. */
@@ -124,39 +134,39 @@
 
   /** A new request in this dialog (section 12.2.1.1); an ACK bears the number of its INVITE. */
   public SipRequest request(String method) {
-    localSeq++;
-    return request(method, localSeq);
+    localSequence++;
+    return request(method, localSequence);
   }
 
   /** The ACK to a 2xx that answered the INVITE of this number (section 13.2.2.4). */
-  public SipRequest ack(long number) {
-    return request("ACK", number);
+  public SipRequest ack(long inviteSequence) {
+    return request("ACK", inviteSequence);
   }
 
-  private SipRequest request(String method, long number) {
-    boolean strict = !routes.isEmpty() && !isLoose(routes.get(0));
-    List<String> way = new ArrayList<>(routes);
-    String uri = target;
-    if (strict) {
-      uri = NameAddr.parse(way.remove(0)).uri();
-      way.add("<" + target + ">");
+  private SipRequest request(String method, long sequence) {
+    boolean strictRouting = !routeSet.isEmpty() && !isLooseRoute(routeSet.get(0));
+    List<String> routeHeaders = new ArrayList<>(routeSet);
+    String uri = remoteTarget;
+    if (strictRouting) {
+      uri = NameAddr.parse(routeHeaders.remove(0)).uri();
+      routeHeaders.add("<" + remoteTarget + ">");
     }
     SipRequest request = new SipRequest(method, uri);
     request.add("Max-Forwards", "70");
-    for (String route : way) {
+    for (String route : routeHeaders) {
       request.add("Route", route);
     }
-    request.add("From", local);
-    request.add("To", remote);
+    request.add("From", localAddress);
+    request.add("To", remoteAddress);
     request.add("Call-ID", callId);
-    request.add("CSeq", new CSeq(number, method).toString());
+    request.add("CSeq", new CSeq(sequence, method).toString());
     if (!method.equals("BYE") && !method.equals("ACK")) {
       request.add("Contact", contact);
     }
     return request;
   }
 
-  private static boolean isLoose(String route) {
+  private static boolean isLooseRoute(String route) {
     NameAddr address = NameAddr.parse(route);
     SipUri uri = address == null ? null : SipUri.parse(address.uri());
     return uri != null && uri.params().has("lr");
@@ -164,8 +174,8 @@
 
   /** Where requests of this dialog go; null where no place can be told from its URIs. */
   public Hop hop() {
-    NameAddr first = routes.isEmpty() ? null : NameAddr.parse(routes.get(0));
-    SipUri uri = SipUri.parse(first == null ? target : first.uri());
+    NameAddr firstRoute = routeSet.isEmpty() ? null : NameAddr.parse(routeSet.get(0));
+    SipUri uri = SipUri.parse(firstRoute == null ? remoteTarget : firstRoute.uri());
     return uri == null ? null : uri.hop();
   }
 
@@ -174,11 +184,11 @@
    * the target (INVITE, UPDATE) gives a new address.
    */
   public boolean receive(SipRequest request) {
-    long number = request.cseq().number();
-    if (number <= remoteSeq) {
+    long sequence = request.cseq().number();
+    if (sequence <= remoteSequence) {
       return false;
     }
-    remoteSeq = number;
+    remoteSequence = sequence;
     refresh(request);
     return true;
   }
@@ -187,7 +197,7 @@
   public void refresh(SipMessage message) {
     String method = message.cseq().method();
     if (method.equals("INVITE") || method.equals("UPDATE")) {
-      target = contactOf(message, target);
+      remoteTarget = contactUri(message, remoteTarget);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
@@ -17,9 +17,9 @@
   private State state = State.CALLING;
   private SipHost.Timer timerA;
   private SipHost.Timer timerB;
-  private double gap;
-  private boolean cancelWanted;
-  private boolean revived;
+  private double retransmitIntervalMillis;
+  private boolean cancelRequested;
+  private boolean resumedAfterRestart;
   private String cancelReason;
   private SipRequest ack;
 
@@ -30,37 +30,37 @@
   @Override
   void start() {
     transmit();
-    gap = timing.t1();
-    if (!reliable()) {
-      timerA = after(gap, this::repeat);
+    retransmitIntervalMillis = timing.t1();
+    if (!isReliable()) {
+      timerA = schedule(retransmitIntervalMillis, this::retransmit);
     }
-    timerB = after(timing.transactionTimeout(), this::timeOut);
+    timerB = schedule(timing.transactionTimeout(), this::timeOut);
   }
 
   /**
    * Goes on, after a restart, with an INVITE that may have left: it is not sent again, and called
    * off at once. That the other side does not know it (481 to the CANCEL) is an end as well.
    */
-  void callOffRevived(String reason) {
+  void cancelAfterRestart(String reason) {
     state = State.PROCEEDING;
     cancelReason = reason;
-    revived = true;
-    cancelWanted = true;
+    resumedAfterRestart = true;
+    cancelRequested = true;
     sendCancel();
   }
 
-  private void cancelAnswered(SipResponse response) {
-    if (revived && response.status() == 481 && waits()) {
+  private void handleCancelResponse(SipResponse response) {
+    if (resumedAfterRestart && response.status() == 481 && isAwaitingFinalResponse()) {
       finish();
-      tell(Failure.TIMED_OUT);
+      notifyListener(Failure.TIMED_OUT);
     }
   }
 
   /** Hears what becomes of the CANCEL. */
-  private final class CancelAnswers implements Listener {
+  private final class CancelResponseListener implements Listener {
     @Override
     public void response(SipResponse response) {
-      cancelAnswered(response);
+      handleCancelResponse(response);
     }
 
     @Override
@@ -69,18 +69,18 @@
     }
   }
 
-  private void repeat() {
+  private void retransmit() {
     if (state == State.CALLING) {
       transmit();
-      gap *= 2;
-      timerA = after(gap, this::repeat);
+      retransmitIntervalMillis *= 2;
+      timerA = schedule(retransmitIntervalMillis, this::retransmit);
     }
   }
 
   @Override
   void receive(SipResponse response) {
     switch (state) {
-      case CALLING, PROCEEDING -> first(response);
+      case CALLING, PROCEEDING -> receiveWhilePending(response);
       case COMPLETED -> {
         if (response.status() >= 300) {
           layer.host().send(hop(), ack.toBytes());
@@ -88,35 +88,35 @@
       }
       case ACCEPTED -> {
         if (response.isSuccess()) {
-          tell(response);
+          notifyListener(response);
         }
       }
       case TERMINATED -> {}
     }
   }
 
-  private void first(SipResponse response) {
-    stop(timerA);
+  private void receiveWhilePending(SipResponse response) {
+    cancelTimer(timerA);
     if (response.isProvisional()) {
       if (state == State.CALLING) {
         state = State.PROCEEDING;
-        stop(timerB);
-        if (cancelWanted) {
+        cancelTimer(timerB);
+        if (cancelRequested) {
           sendCancel();
         }
       }
     } else if (response.isSuccess()) {
       state = State.ACCEPTED;
-      stop(timerB);
-      after(timing.transactionTimeout(), this::finish);
+      cancelTimer(timerB);
+      schedule(timing.transactionTimeout(), this::finish);
     } else {
       state = State.COMPLETED;
-      stop(timerB);
-      ack = ackTo(response);
+      cancelTimer(timerB);
+      ack = ackFor(response);
       layer.host().send(hop(), ack.toBytes());
-      after(reliable() ? 0 : timing.transactionTimeout(), this::finish);
+      schedule(isReliable() ? 0 : timing.transactionTimeout(), this::finish);
     }
-    tell(response);
+    notifyListener(response);
   }
 
   /**
@@ -126,8 +126,8 @@
    * @param reason value of a Reason field (RFC 3326), or null
    */
   public void cancel(String reason) {
-    if (!cancelWanted) {
-      cancelWanted = true;
+    if (!cancelRequested) {
+      cancelRequested = true;
       cancelReason = reason;
       if (state == State.PROCEEDING) {
         sendCancel();
@@ -136,47 +136,47 @@
   }
 
   private void sendCancel() {
-    SipRequest cancel = sameBranch("CANCEL");
+    SipRequest cancel = requestWithSameBranch("CANCEL");
     if (cancelReason != null) {
       cancel.add("Reason", cancelReason);
     }
-    layer.sendCancel(cancel, hop(), new CancelAnswers());
-    timerB = after(timing.transactionTimeout(), this::timeOut);
+    layer.sendCancel(cancel, hop(), new CancelResponseListener());
+    timerB = schedule(timing.transactionTimeout(), this::timeOut);
   }
 
   /** The ACK to a final answer other than 2xx (RFC 3261 section 17.1.1.3). */
-  private SipRequest ackTo(SipResponse response) {
-    SipRequest made = sameBranch("ACK");
-    made.set("To", response.header("To"));
-    return made;
+  private SipRequest ackFor(SipResponse response) {
+    SipRequest ackRequest = requestWithSameBranch("ACK");
+    ackRequest.set("To", response.header("To"));
+    return ackRequest;
   }
 
-  private SipRequest sameBranch(String method) {
+  private SipRequest requestWithSameBranch(String method) {
     SipRequest invite = request();
-    SipRequest made = new SipRequest(method, invite.uri());
-    made.add("Via", invite.via().toString());
-    made.add("Max-Forwards", "70");
-    made.copyHeaders("Route", invite);
-    made.copyHeaders("From", invite);
-    made.copyHeaders("To", invite);
-    made.copyHeaders("Call-ID", invite);
-    made.add("CSeq", new CSeq(invite.cseq().number(), method).toString());
-    return made;
+    SipRequest request = new SipRequest(method, invite.uri());
+    request.add("Via", invite.via().toString());
+    request.add("Max-Forwards", "70");
+    request.copyHeaders("Route", invite);
+    request.copyHeaders("From", invite);
+    request.copyHeaders("To", invite);
+    request.copyHeaders("Call-ID", invite);
+    request.add("CSeq", new CSeq(invite.cseq().number(), method).toString());
+    return request;
   }
 
   @Override
-  boolean waits() {
+  boolean isAwaitingFinalResponse() {
     return state == State.CALLING || state == State.PROCEEDING;
   }
 
   @Override
-  void terminate() {
+  void enterTerminatedState() {
     state = State.TERMINATED;
   }
 
   @Override
   void stopTimers() {
-    stop(timerA);
-    stop(timerB);
+    cancelTimer(timerA);
+    cancelTimer(timerB);
   }
 }
--- a/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
@@ -5,7 +5,7 @@
  */
 public final class InviteServerTransaction extends ServerTransaction {
   /** A 100 goes out by itself after this, ms (RFC 3261 section 17.2.1). */
-  private static final double TRYING_AFTER = 200;
+  private static final double TRYING_DELAY_MILLIS = 200;
 
   /** The states of the figure. */
   enum State {
@@ -20,35 +20,36 @@
   private boolean provisionalSent;
   private SipHost.Timer timerG;
   private SipHost.Timer timerH;
-  private SipHost.Timer trying;
-  private double gap;
-  private Runnable whenRepeated;
+  private SipHost.Timer tryingTimer;
+  private double retransmitIntervalMillis;
+  private Runnable onRetransmission;
 
-  InviteServerTransaction(TransactionLayer layer, SipRequest request, Hop source, double arrived) {
-    super(layer, request, source, arrived);
-    trying = after(TRYING_AFTER, this::sayTrying);
+  InviteServerTransaction(
+      TransactionLayer layer, SipRequest request, Hop source, double arrivalMillis) {
+    super(layer, request, source, arrivalMillis);
+    tryingTimer = schedule(TRYING_DELAY_MILLIS, this::sendTrying);
   }
 
   /** Says nothing of itself: the caller may have had its answer before a restart. */
-  void keepQuiet() {
-    trying.cancel();
+  void suppressTrying() {
+    tryingTimer.cancel();
   }
 
   /** Its 2xx was sent and acknowledged before a restart: repeats of it are absorbed. */
-  void takeAsAccepted() {
+  void resumeAccepted() {
     state = State.ACCEPTED;
-    after(timing.transactionTimeout(), this::finish);
+    schedule(timing.transactionTimeout(), this::finish);
   }
 
   /** Ends without any answer: the caller had one, or has left. */
   void abandon() {
     if (state == State.PROCEEDING) {
-      trying.cancel();
+      tryingTimer.cancel();
       finish();
     }
   }
 
-  private void sayTrying() {
+  private void sendTrying() {
     if (state == State.PROCEEDING && !provisionalSent) {
       respond(request().response(100));
     }
@@ -58,15 +59,15 @@
   public void respond(SipResponse response) {
     if (state == State.PROCEEDING) {
       provisionalSent = true;
-      trying.cancel();
+      tryingTimer.cancel();
       if (response.isSuccess()) {
         state = State.ACCEPTED;
-        after(timing.transactionTimeout(), this::finish);
+        schedule(timing.transactionTimeout(), this::finish);
       } else if (!response.isProvisional()) {
         state = State.COMPLETED;
-        gap = timing.t1();
-        timerG = reliable() ? null : after(gap, this::repeat);
-        timerH = after(timing.transactionTimeout(), this::finish);
+        retransmitIntervalMillis = timing.t1();
+        timerG = isReliable() ? null : schedule(retransmitIntervalMillis, this::retransmit);
+        timerH = schedule(timing.transactionTimeout(), this::finish);
       }
       transmit(response);
     } else if (state == State.ACCEPTED && response.isSuccess()) {
@@ -74,41 +75,41 @@
     }
   }
 
-  private void repeat() {
+  private void retransmit() {
     if (state == State.COMPLETED) {
-      transmitAgain();
-      gap = Math.min(2 * gap, timing.t2());
-      timerG = after(gap, this::repeat);
+      retransmitLastResponse();
+      retransmitIntervalMillis = Math.min(2 * retransmitIntervalMillis, timing.t2());
+      timerG = schedule(retransmitIntervalMillis, this::retransmit);
     }
   }
 
   @Override
-  public boolean answered() {
+  public boolean hasFinalResponse() {
     return state != State.PROCEEDING;
   }
 
   /** Runs a task when the INVITE comes again before anything was answered. */
-  void whenRepeated(Runnable task) {
-    whenRepeated = task;
+  void onRetransmission(Runnable task) {
+    onRetransmission = task;
   }
 
   @Override
-  void repeated() {
-    if (state == State.PROCEEDING && !provisionalSent && whenRepeated != null) {
-      whenRepeated.run();
+  void requestRetransmitted() {
+    if (state == State.PROCEEDING && !provisionalSent && onRetransmission != null) {
+      onRetransmission.run();
     }
     if (state == State.PROCEEDING || state == State.COMPLETED) {
-      transmitAgain();
+      retransmitLastResponse();
     }
   }
 
   /** An ACK with this branch came; whether it was for this transaction. */
-  boolean acknowledged() {
+  boolean receiveAck() {
     if (state == State.COMPLETED) {
       state = State.CONFIRMED;
-      ClientTransaction.stop(timerG);
-      ClientTransaction.stop(timerH);
-      after(reliable() ? 0 : timing.t4(), this::finish);
+      ClientTransaction.cancelTimer(timerG);
+      ClientTransaction.cancelTimer(timerH);
+      schedule(isReliable() ? 0 : timing.t4(), this::finish);
     }
     return state != State.ACCEPTED;
   }
@@ -116,9 +117,9 @@
   private void finish() {
     if (state != State.TERMINATED) {
       state = State.TERMINATED;
-      ClientTransaction.stop(timerG);
-      ClientTransaction.stop(timerH);
-      layer.over(this);
+      ClientTransaction.cancelTimer(timerG);
+      ClientTransaction.cancelTimer(timerH);
+      layer.transactionTerminated(this);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
@@ -14,7 +14,7 @@
   private State state = State.TRYING;
   private SipHost.Timer timerE;
   private SipHost.Timer timerF;
-  private double gap;
+  private double retransmitIntervalMillis;
 
   NonInviteClientTransaction(
       TransactionLayer layer, SipRequest request, Hop hop, Listener listener) {
@@ -24,18 +24,21 @@
   @Override
   void start() {
     transmit();
-    gap = timing.t1();
-    if (!reliable()) {
-      timerE = after(gap, this::repeat);
+    retransmitIntervalMillis = timing.t1();
+    if (!isReliable()) {
+      timerE = schedule(retransmitIntervalMillis, this::retransmit);
     }
-    timerF = after(timing.transactionTimeout(), this::timeOut);
+    timerF = schedule(timing.transactionTimeout(), this::timeOut);
   }
 
-  private void repeat() {
+  private void retransmit() {
     if (state == State.TRYING || state == State.PROCEEDING) {
       transmit();
-      gap = state == State.PROCEEDING ? timing.t2() : Math.min(2 * gap, timing.t2());
-      timerE = after(gap, this::repeat);
+      retransmitIntervalMillis =
+          state == State.PROCEEDING
+              ? timing.t2()
+              : Math.min(2 * retransmitIntervalMillis, timing.t2());
+      timerE = schedule(retransmitIntervalMillis, this::retransmit);
     }
   }
 
@@ -48,26 +51,26 @@
       state = State.PROCEEDING;
     } else {
       state = State.COMPLETED;
-      stop(timerE);
-      stop(timerF);
-      after(reliable() ? 0 : timing.t4(), this::finish);
+      cancelTimer(timerE);
+      cancelTimer(timerF);
+      schedule(isReliable() ? 0 : timing.t4(), this::finish);
     }
-    tell(response);
+    notifyListener(response);
   }
 
   @Override
-  boolean waits() {
+  boolean isAwaitingFinalResponse() {
     return state == State.TRYING || state == State.PROCEEDING;
   }
 
   @Override
-  void terminate() {
+  void enterTerminatedState() {
     state = State.TERMINATED;
   }
 
   @Override
   void stopTimers() {
-    stop(timerE);
-    stop(timerF);
+    cancelTimer(timerE);
+    cancelTimer(timerF);
   }
 }
--- a/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
@@ -14,9 +14,9 @@
   private State state = State.TRYING;
 
   NonInviteServerTransaction(
-      TransactionLayer layer, SipRequest request, Hop source, double arrived) {
-    super(layer, request, source, arrived);
-    after(timing.transactionTimeout(), this::abandon);
+      TransactionLayer layer, SipRequest request, Hop source, double arrivalMillis) {
+    super(layer, request, source, arrivalMillis);
+    schedule(timing.transactionTimeout(), this::expireUnanswered);
   }
 
   @Override
@@ -25,26 +25,26 @@
       state = response.isProvisional() ? State.PROCEEDING : State.COMPLETED;
       transmit(response);
       if (state == State.COMPLETED) {
-        after(reliable() ? 0 : timing.transactionTimeout(), this::finish);
+        schedule(isReliable() ? 0 : timing.transactionTimeout(), this::finish);
       }
     }
   }
 
   @Override
-  public boolean answered() {
+  public boolean hasFinalResponse() {
     return state == State.COMPLETED || state == State.TERMINATED;
   }
 
   @Override
-  void repeated() {
+  void requestRetransmitted() {
     if (state == State.PROCEEDING || state == State.COMPLETED) {
-      transmitAgain();
+      retransmitLastResponse();
     }
   }
 
   /** Bounds a transaction that its user never answers; the client has long given up by then. */
-  private void abandon() {
-    if (!answered()) {
+  private void expireUnanswered() {
+    if (!hasFinalResponse()) {
       finish();
     }
   }
@@ -52,7 +52,7 @@
   private void finish() {
     if (state != State.TERMINATED) {
       state = State.TERMINATED;
-      layer.over(this);
+      layer.transactionTerminated(this);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/Notifier.java
+++ b/sip/src/main/java/coveladder/sip/Notifier.java
@@ -7,27 +7,27 @@
 
 /** The notifier's side of an event package (RFC 6665 section 4.2). */
 public final class Notifier {
-  private static final int LONGEST = 3600;
+  private static final int MAX_EXPIRES_SECONDS = 3600;
 
-  private final UserAgent agent;
+  private final UserAgent userAgent;
   private final SipHost host;
   private final String event;
-  private final int most;
-  private final Map<String, Subscription> held = new LinkedHashMap<>();
+  private final int maxSubscribers;
+  private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
   /** Makes a notifier of an event package for at most so many subscribers. */
-  public Notifier(UserAgent agent, SipHost host, String event, int most) {
-    this.agent = agent;
+  public Notifier(UserAgent userAgent, SipHost host, String event, int maxSubscribers) {
+    this.userAgent = userAgent;
     this.host = host;
     this.event = event;
-    this.most = most;
+    this.maxSubscribers = maxSubscribers;
   }
 
   /** One subscriber. */
   public final class Subscription {
     private final Dialog dialog;
     private final String subscriber;
-    private double until;
+    private double expiresAtMillis;
 
     private Subscription(Dialog dialog, String subscriber) {
       this.dialog = dialog;
@@ -40,34 +40,34 @@
     }
 
     /** Sends a state. */
-    public void notify(String type, String body) {
+    public void notify(String contentType, String body) {
       SipRequest notify = dialog.request("NOTIFY");
       notify.add("Event", event);
-      long left = Math.max(0, Math.round((until - host.now()) / 1000));
-      notify.add("Subscription-State", "active;expires=" + left);
-      notify.body(type, body);
-      agent.send(notify, dialog.hop(), new Answers(dialog.callId()));
+      long remainingSeconds = Math.max(0, Math.round((expiresAtMillis - host.now()) / 1000));
+      notify.add("Subscription-State", "active;expires=" + remainingSeconds);
+      notify.body(contentType, body);
+      userAgent.send(notify, dialog.hop(), new NotifyResponseListener(dialog.callId()));
     }
   }
 
   /** Drops a subscriber that does not know its subscription any more, or cannot be reached. */
-  private final class Answers implements ClientTransaction.Listener {
+  private final class NotifyResponseListener implements ClientTransaction.Listener {
     private final String callId;
 
-    Answers(String callId) {
+    NotifyResponseListener(String callId) {
       this.callId = callId;
     }
 
     @Override
     public void response(SipResponse response) {
       if (response.status() == 481) {
-        held.remove(callId);
+        subscriptions.remove(callId);
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      held.remove(callId);
+      subscriptions.remove(callId);
     }
   }
 
@@ -81,8 +81,8 @@
       transaction.respond(request.response(489));
       return null;
     }
-    boolean known = held.containsKey(request.callId());
-    if (!known && (request.toTag() != null || held.size() >= most)) {
+    boolean known = subscriptions.containsKey(request.callId());
+    if (!known && (request.toTag() != null || subscriptions.size() >= maxSubscribers)) {
       transaction.respond(request.response(request.toTag() != null ? 481 : 503));
       return null;
     }
@@ -90,29 +90,33 @@
   }
 
   private Subscription accept(ServerTransaction transaction, SipRequest request) {
-    String to = request.header("To") + ";tag=" + agent.newTag();
-    String contact = agent.contact(transaction.source());
-    Dialog dialog = Dialog.ofCallee(request, to, contact);
-    Subscription made = new Subscription(dialog, request.addressHeader("From").uri());
-    held.put(request.callId(), made);
-    return answer(transaction, request, made, to);
+    String toHeader = request.header("To") + ";tag=" + userAgent.newTag();
+    String contact = userAgent.contact(transaction.source());
+    Dialog dialog = Dialog.ofCallee(request, toHeader, contact);
+    Subscription subscription = new Subscription(dialog, request.addressHeader("From").uri());
+    subscriptions.put(request.callId(), subscription);
+    return answer(transaction, request, subscription, toHeader);
   }
 
   private Subscription refresh(ServerTransaction transaction, SipRequest request) {
-    return answer(transaction, request, held.get(request.callId()), request.header("To"));
+    return answer(transaction, request, subscriptions.get(request.callId()), request.header("To"));
   }
 
   private Subscription answer(
-      ServerTransaction transaction, SipRequest request, Subscription subscription, String to) {
-    long seconds = Math.min(LONGEST, request.numericHeader("Expires", LONGEST));
-    subscription.until = host.now() + seconds * 1000.0;
+      ServerTransaction transaction,
+      SipRequest request,
+      Subscription subscription,
+      String toHeader) {
+    long expiresSeconds =
+        Math.min(MAX_EXPIRES_SECONDS, request.numericHeader("Expires", MAX_EXPIRES_SECONDS));
+    subscription.expiresAtMillis = host.now() + expiresSeconds * 1000.0;
     SipResponse response = request.response(200);
-    response.set("To", to);
-    response.add("Expires", Long.toString(seconds));
-    response.add("Contact", agent.contact(transaction.source()));
+    response.set("To", toHeader);
+    response.add("Expires", Long.toString(expiresSeconds));
+    response.add("Contact", userAgent.contact(transaction.source()));
     transaction.respond(response);
-    if (seconds == 0) {
-      held.remove(request.callId());
+    if (expiresSeconds == 0) {
+      subscriptions.remove(request.callId());
       return null;
     }
     return subscription;
@@ -120,7 +124,7 @@
 
   /** The subscriptions that have not run out. */
   public List<Subscription> active() {
-    held.values().removeIf(subscription -> subscription.until < host.now());
-    return new ArrayList<>(held.values());
+    subscriptions.values().removeIf(subscription -> subscription.expiresAtMillis < host.now());
+    return new ArrayList<>(subscriptions.values());
   }
 }
--- a/sip/src/main/java/coveladder/sip/ServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ServerTransaction.java
@@ -7,17 +7,17 @@
   final Timing timing;
   private final SipRequest request;
   private final Hop source;
-  private final double arrived;
+  private final double arrivalMillis;
   private Hop hop;
-  private byte[] last;
-  private Runnable whenOver;
+  private byte[] lastResponseBytes;
+  private Runnable onTermination;
 
-  ServerTransaction(TransactionLayer layer, SipRequest request, Hop source, double arrived) {
+  ServerTransaction(TransactionLayer layer, SipRequest request, Hop source, double arrivalMillis) {
     this.layer = layer;
     this.timing = layer.timing();
     this.request = request;
     this.source = source;
-    this.arrived = arrived;
+    this.arrivalMillis = arrivalMillis;
     Transport transport = source.transport();
     this.hop = transport.isReliable() ? source : request.via().responseHop(transport);
   }
@@ -33,19 +33,19 @@
   }
 
   /** Runs a task once the transaction is over. */
-  void whenOver(Runnable task) {
-    whenOver = task;
+  void onTermination(Runnable task) {
+    onTermination = task;
   }
 
-  void tellOver() {
-    if (whenOver != null) {
-      whenOver.run();
+  void notifyTerminated() {
+    if (onTermination != null) {
+      onTermination.run();
     }
   }
 
   /** Clock of the request's arrival at this machine, ms. */
-  public double arrived() {
-    return arrived;
+  public double arrivalMillis() {
+    return arrivalMillis;
   }
 
   /**
@@ -55,27 +55,27 @@
   public abstract void respond(SipResponse response);
 
   /** Whether a final response was given. */
-  public abstract boolean answered();
+  public abstract boolean hasFinalResponse();
 
   /** The same request came again. */
-  abstract void repeated();
+  abstract void requestRetransmitted();
 
-  boolean reliable() {
+  boolean isReliable() {
     return hop.transport().isReliable();
   }
 
   void transmit(SipResponse response) {
-    OverloadControl load = layer.ownLoad();
-    if (load != null) {
-      load.write(response);
+    OverloadControl overload = layer.localOverload();
+    if (overload != null) {
+      overload.write(response);
     }
-    last = response.toBytes();
-    layer.host().send(hop, last);
+    lastResponseBytes = response.toBytes();
+    layer.host().send(hop, lastResponseBytes);
   }
 
-  void transmitAgain() {
-    if (last != null) {
-      layer.host().send(hop, last);
+  void retransmitLastResponse() {
+    if (lastResponseBytes != null) {
+      layer.host().send(hop, lastResponseBytes);
     }
   }
 
@@ -83,16 +83,16 @@
    * The connection that the request came by is gone: the last response goes once to the sent-by
    * address of the Via instead (RFC 3261 section 18.2.2).
    */
-  void lost() {
+  void connectionLost() {
     Via via = request.via();
-    Hop other = new Hop(source.transport(), via.host(), via.portOrDefault());
-    if (last != null && hop.equals(source) && !other.equals(source)) {
-      hop = other;
-      transmitAgain();
+    Hop sentBy = new Hop(source.transport(), via.host(), via.portOrDefault());
+    if (lastResponseBytes != null && hop.equals(source) && !sentBy.equals(source)) {
+      hop = sentBy;
+      retransmitLastResponse();
     }
   }
 
-  SipHost.Timer after(double delay, Runnable task) {
-    return layer.host().schedule(delay, task);
+  SipHost.Timer schedule(double delayMillis, Runnable task) {
+    return layer.host().schedule(delayMillis, task);
   }
 }
--- a/sip/src/main/java/coveladder/sip/Subscriber.java
+++ b/sip/src/main/java/coveladder/sip/Subscriber.java
@@ -5,23 +5,23 @@
  * NOTIFYs, and begins anew with growing pauses when the notifier is lost.
  */
 public final class Subscriber {
-  private static final double FIRST_PAUSE = 500;
-  private static final double LONGEST_PAUSE = 30_000;
-  private static final int SECONDS = 600;
+  private static final double INITIAL_RETRY_DELAY_MILLIS = 500;
+  private static final double MAX_RETRY_DELAY_MILLIS = 30_000;
+  private static final int EXPIRES_SECONDS = 600;
 
-  private final UserAgent agent;
+  private final UserAgent userAgent;
   private final SipHost host;
   private final String event;
   private final String target;
   private final Hop hop;
   private final Watcher watcher;
   private String callId;
-  private String from;
-  private String to;
+  private String fromHeader;
+  private String toHeader;
   private long sequence;
-  private long notified;
-  private double pause = FIRST_PAUSE;
-  private SipHost.Timer refresh;
+  private long lastNotifySequence;
+  private double retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
+  private SipHost.Timer subscribeTimer;
   private boolean stopped;
 
   /** Who is told of what the notifier says. */
@@ -30,108 +30,109 @@
     void notified(SipRequest notify);
 
     /** The subscription could not be had, or broke; it is tried again. */
-    void lost(String why);
+    void lost(String reason);
   }
 
   /**
    * Makes a subscription that is not yet asked for.
    *
    * @param event the event package
-   * @param self own URI, for From
+   * @param localUri own URI, for From
    * @param target URI of the notifier
    */
   public Subscriber(
-      UserAgent agent,
+      UserAgent userAgent,
       SipHost host,
       String event,
-      String self,
+      String localUri,
       String target,
       Hop hop,
       Watcher watcher) {
-    this.agent = agent;
+    this.userAgent = userAgent;
     this.host = host;
     this.event = event;
     this.target = target;
     this.hop = hop;
     this.watcher = watcher;
-    this.from = '<' + self + '>';
+    this.fromHeader = '<' + localUri + '>';
   }
 
   /** Asks for the subscription, or asks anew: the notifier then sends the full state. */
   public void subscribe() {
     stopped = false;
-    callId = agent.newTag();
-    from = from.substring(0, from.indexOf('>') + 1) + ";tag=" + agent.newTag();
-    to = '<' + target + '>';
+    callId = userAgent.newTag();
+    fromHeader =
+        fromHeader.substring(0, fromHeader.indexOf('>') + 1) + ";tag=" + userAgent.newTag();
+    toHeader = '<' + target + '>';
     sequence = 0;
-    notified = -1;
-    ask(SECONDS);
+    lastNotifySequence = -1;
+    sendSubscribe(EXPIRES_SECONDS);
   }
 
   /** Ends the subscription. */
   public void stop() {
     if (!stopped && callId != null) {
       stopped = true;
-      ClientTransaction.stop(refresh);
-      ask(0);
+      ClientTransaction.cancelTimer(subscribeTimer);
+      sendSubscribe(0);
     }
   }
 
-  private void ask(int seconds) {
+  private void sendSubscribe(int expiresSeconds) {
     SipRequest request = new SipRequest("SUBSCRIBE", target);
     request.add("Max-Forwards", "70");
-    request.add("From", from);
-    request.add("To", to);
+    request.add("From", fromHeader);
+    request.add("To", toHeader);
     request.add("Call-ID", callId);
     sequence++;
     request.add("CSeq", new CSeq(sequence, "SUBSCRIBE").toString());
-    request.add("Contact", agent.contact(hop));
+    request.add("Contact", userAgent.contact(hop));
     request.add("Event", event);
-    request.add("Expires", Integer.toString(seconds));
-    agent.sendOutsideDialog(request, hop, new Answers(callId));
+    request.add("Expires", Integer.toString(expiresSeconds));
+    userAgent.sendOutsideDialog(request, hop, new SubscribeResponseListener(callId));
   }
 
   /** Hears the answers to one SUBSCRIBE. */
-  private final class Answers implements ClientTransaction.Listener {
-    private final String asked;
+  private final class SubscribeResponseListener implements ClientTransaction.Listener {
+    private final String requestCallId;
 
-    Answers(String asked) {
-      this.asked = asked;
+    SubscribeResponseListener(String requestCallId) {
+      this.requestCallId = requestCallId;
     }
 
     @Override
     public void response(SipResponse response) {
-      if (!asked.equals(callId) || stopped || response.isProvisional()) {
+      if (!requestCallId.equals(callId) || stopped || response.isProvisional()) {
         return;
       }
       if (response.isSuccess()) {
-        to = response.header("To");
-        pause = FIRST_PAUSE;
-        double seconds = Math.max(1, response.numericHeader("Expires", SECONDS));
-        again(seconds * 800, () -> ask(SECONDS));
+        toHeader = response.header("To");
+        retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
+        double grantedSeconds = Math.max(1, response.numericHeader("Expires", EXPIRES_SECONDS));
+        scheduleSubscribe(grantedSeconds * 800, () -> sendSubscribe(EXPIRES_SECONDS));
       } else {
-        lose("answered " + response.status());
+        retryAfterLoss("answered " + response.status());
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      if (asked.equals(callId) && !stopped) {
-        lose("failed: " + failure);
+      if (requestCallId.equals(callId) && !stopped) {
+        retryAfterLoss("failed: " + failure);
       }
     }
   }
 
-  private void lose(String why) {
-    watcher.lost(why);
-    double spread = 0.5 + host.random().nextDouble();
-    again(pause * spread, this::subscribe);
-    pause = Math.min(2 * pause, LONGEST_PAUSE);
+  private void retryAfterLoss(String reason) {
+    watcher.lost(reason);
+    double jitter = 0.5 + host.random().nextDouble();
+    scheduleSubscribe(retryDelayMillis * jitter, this::subscribe);
+    retryDelayMillis = Math.min(2 * retryDelayMillis, MAX_RETRY_DELAY_MILLIS);
   }
 
-  private void again(double delay, Runnable task) {
-    ClientTransaction.stop(refresh);
-    refresh = host.schedule(delay, task);
+  private void scheduleSubscribe(double delayMillis, Runnable task) {
+    ClientTransaction.cancelTimer(subscribeTimer);
+    subscribeTimer = host.schedule(delayMillis, task);
   }
 
   /** Takes a NOTIFY if it is of this subscription, and answers it; whether it was. */
@@ -140,12 +141,12 @@
       return false;
     }
     transaction.respond(notify.response(200));
-    if (notify.cseq().number() > notified) {
-      notified = notify.cseq().number();
+    if (notify.cseq().number() > lastNotifySequence) {
+      lastNotifySequence = notify.cseq().number();
       watcher.notified(notify);
-      boolean over = notify.header("Subscription-State", "").startsWith("terminated");
-      if (over && !stopped) {
-        lose("terminated by the notifier");
+      boolean terminated = notify.header("Subscription-State", "").startsWith("terminated");
+      if (terminated && !stopped) {
+        retryAfterLoss("terminated by the notifier");
       }
     }
     return true;
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -15,66 +15,67 @@
  */
 public final class TransactionLayer {
   /** A request larger than this leaves by TCP, octets (RFC 3261 section 18.1.1). */
-  private static final int DATAGRAM_MOST = 1300;
+  private static final int MAX_DATAGRAM_BYTES = 1300;
 
   private final SipHost host;
   private final Timing timing;
   private final TransactionUser user;
-  private final int most;
-  private final Map<String, ClientTransaction> clients = new HashMap<>();
-  private final Map<Hop, Set<ClientTransaction>> byConnection = new HashMap<>();
-  private final Map<String, ServerTransaction> servers = new HashMap<>();
+  private final int maxServerTransactions;
+  private final Map<String, ClientTransaction> clientTransactions = new HashMap<>();
+  private final Map<Hop, Set<ClientTransaction>> clientsByConnection = new HashMap<>();
+  private final Map<String, ServerTransaction> serverTransactions = new HashMap<>();
   private final Map<Hop, Set<ServerTransaction>> serversByConnection = new HashMap<>();
-  private final Map<String, String> initial = new HashMap<>();
-  private final Map<Long, Boolean> past;
-  private final long salt;
-  private long branches;
-  private boolean overloadControl;
-  private Supplier<OverloadControl> ownLoad = () -> null;
-  private double arrival;
+  private final Map<String, String> initialRequests = new HashMap<>();
+  private final Map<Long, Boolean> endedInvites;
+  private final long digestSalt;
+  private long branchCount;
+  private boolean overloadControlOffered;
+  private Supplier<OverloadControl> localOverload = () -> null;
+  private double messageArrivalMillis;
 
   /**
    * Makes the layer.
    *
-   * @param most most server transactions at a time, and INVITEs remembered after their end; a
-   *     request beyond that is answered 503 without a transaction
+   * @param maxServerTransactions most server transactions at a time, and INVITEs remembered after
+   *     their end; a request beyond that is answered 503 without a transaction
    */
-  public TransactionLayer(SipHost host, Timing timing, int most, TransactionUser user) {
+  public TransactionLayer(
+      SipHost host, Timing timing, int maxServerTransactions, TransactionUser user) {
     this.host = host;
     this.timing = timing;
-    this.most = most;
+    this.maxServerTransactions = maxServerTransactions;
     this.user = user;
-    this.past = new Remembered(most);
-    this.salt = host.random().nextLong();
+    this.endedInvites = new RecentKeys(maxServerTransactions);
+    this.digestSalt = host.random().nextLong();
   }
 
   /** The latest keys of ended INVITEs; the oldest goes where there are too many. */
-  private static final class Remembered extends LinkedHashMap<Long, Boolean> {
+  private static final class RecentKeys extends LinkedHashMap<Long, Boolean> {
     private static final long serialVersionUID = 1L;
-    private final int most;
+    private final int maxKeys;
 
-    Remembered(int most) {
-      this.most = most;
+    RecentKeys(int maxKeys) {
+      this.maxKeys = maxKeys;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-      return size() > most;
+      return size() > maxKeys;
     }
   }
 
   /** Tells servers in each Via that overload control is understood (RFC 7339, RFC 7415). */
   public void offerOverloadControl() {
-    overloadControl = true;
+    overloadControlOffered = true;
   }
 
   /** Tells clients that offer overload control what this server asks; null figures say nothing. */
-  public void reportOverload(Supplier<OverloadControl> load) {
-    ownLoad = load;
+  public void reportOverload(Supplier<OverloadControl> overload) {
+    localOverload = overload;
   }
 
-  OverloadControl ownLoad() {
-    return ownLoad.get();
+  OverloadControl localOverload() {
+    return localOverload.get();
   }
 
   SipHost host() {
@@ -87,7 +88,7 @@
 
   /** Transactions under way, clients and servers. */
   public int size() {
-    return clients.size() + servers.size();
+    return clientTransactions.size() + serverTransactions.size();
   }
 
   // ---- Client side --------------------------------------------------------------------------
@@ -97,30 +98,31 @@
    * datagram goes by TCP, and by UDP after all if no connection can be had.
    */
   public ClientTransaction send(SipRequest request, Hop hop, ClientTransaction.Listener listener) {
-    ClientTransaction made = prepare(request, hop, listener);
-    begin(made);
-    return made;
+    ClientTransaction transaction = prepare(request, hop, listener);
+    begin(transaction);
+    return transaction;
   }
 
   /** Makes a transaction ready, with its Via, without sending anything yet. */
   ClientTransaction prepare(SipRequest request, Hop hop, ClientTransaction.Listener listener) {
     request.addFirst("Via", via(hop.transport(), nextBranch()).toString());
-    ClientTransaction made = make(request, hop, listener);
-    if (hop.transport() == Transport.UDP && made.wire().length > DATAGRAM_MOST) {
-      made.enlarge();
+    ClientTransaction transaction = createClientTransaction(request, hop, listener);
+    if (hop.transport() == Transport.UDP
+        && transaction.encodedRequest().length > MAX_DATAGRAM_BYTES) {
+      transaction.switchToTcp();
     }
-    return made;
+    return transaction;
   }
 
   /** Sends the request of a transaction that was made ready. */
-  void begin(ClientTransaction made) {
-    hold(made);
-    made.start();
+  void begin(ClientTransaction transaction) {
+    register(transaction);
+    transaction.start();
   }
 
   /** Sends a CANCEL, which bears the Via of the INVITE. */
   void sendCancel(SipRequest cancel, Hop hop, ClientTransaction.Listener listener) {
-    begin(make(cancel, hop, listener));
+    begin(createClientTransaction(cancel, hop, listener));
   }
 
   /**
@@ -128,21 +130,22 @@
    *
    * @param listener hears its end, and a 2xx that crosses
    */
-  void callOff(SipRequest invite, Hop hop, ClientTransaction.Listener listener) {
-    InviteClientTransaction made = new InviteClientTransaction(this, invite, hop, listener);
-    hold(made);
-    made.callOffRevived("SIP;cause=487");
+  void cancelAfterRestart(SipRequest invite, Hop hop, ClientTransaction.Listener listener) {
+    InviteClientTransaction transaction = new InviteClientTransaction(this, invite, hop, listener);
+    register(transaction);
+    transaction.cancelAfterRestart("SIP;cause=487");
   }
 
   /**
    * Takes an INVITE, after a restart, that came before it, so that its repeats find a transaction.
    */
-  InviteServerTransaction revive(SipRequest invite, Hop source) {
-    InviteServerTransaction made = new InviteServerTransaction(this, invite, source, host.now());
-    made.keepQuiet();
-    hold(serverKey(invite, "INVITE"), made);
-    initial.put(mergeKey(invite), serverKey(invite, "INVITE"));
-    return made;
+  InviteServerTransaction resumeInvite(SipRequest invite, Hop source) {
+    InviteServerTransaction transaction =
+        new InviteServerTransaction(this, invite, source, host.now());
+    transaction.suppressTrying();
+    register(serverKey(invite, "INVITE"), transaction);
+    initialRequests.put(mergeKey(invite), serverKey(invite, "INVITE"));
+    return transaction;
   }
 
   /** Sends an ACK to a 2xx, which is no transaction. */
@@ -151,56 +154,61 @@
     host.send(hop, ack.toBytes());
   }
 
-  private ClientTransaction make(SipRequest request, Hop hop, ClientTransaction.Listener listener) {
+  private ClientTransaction createClientTransaction(
+      SipRequest request, Hop hop, ClientTransaction.Listener listener) {
     return request.is("INVITE")
         ? new InviteClientTransaction(this, request, hop, listener)
         : new NonInviteClientTransaction(this, request, hop, listener);
   }
 
-  private void hold(ClientTransaction made) {
-    clients.put(made.key(), made);
-    if (made.reliable()) {
-      byConnection.computeIfAbsent(made.hop(), h -> new LinkedHashSet<>()).add(made);
+  private void register(ClientTransaction transaction) {
+    clientTransactions.put(transaction.key(), transaction);
+    if (transaction.isReliable()) {
+      clientsByConnection
+          .computeIfAbsent(transaction.hop(), h -> new LinkedHashSet<>())
+          .add(transaction);
     }
   }
 
-  private void hold(String key, ServerTransaction made) {
-    servers.put(key, made);
-    if (made.source().transport().isReliable()) {
-      serversByConnection.computeIfAbsent(made.source(), h -> new LinkedHashSet<>()).add(made);
+  private void register(String key, ServerTransaction transaction) {
+    serverTransactions.put(key, transaction);
+    if (transaction.source().transport().isReliable()) {
+      serversByConnection
+          .computeIfAbsent(transaction.source(), h -> new LinkedHashSet<>())
+          .add(transaction);
     }
   }
 
   private Via via(Transport transport, String branch) {
     Hop local = host.localHop(transport);
     Params params = new Params().set("branch", branch).set("rport", "");
-    if (overloadControl) {
+    if (overloadControlOffered) {
       params.set("oc", "").set("oc-algo", "\"loss,rate\"");
     }
     return new Via(transport.name(), local.host(), local.port(), params);
   }
 
   private String nextBranch() {
-    branches++;
+    branchCount++;
     return Via.MAGIC_COOKIE
         + Long.toHexString(host.random().nextLong())
-        + Long.toHexString(branches);
+        + Long.toHexString(branchCount);
   }
 
-  void over(ClientTransaction transaction) {
-    clients.remove(transaction.key(), transaction);
+  void transactionTerminated(ClientTransaction transaction) {
+    clientTransactions.remove(transaction.key(), transaction);
     unlink(transaction);
-    transaction.tellOver();
+    transaction.notifyTerminated();
   }
 
   /** Forgets that a transaction hangs on a connection. */
   void unlink(ClientTransaction transaction) {
-    unlink(byConnection, transaction.hop(), transaction);
+    unlink(clientsByConnection, transaction.hop(), transaction);
   }
 
   private static <T> void unlink(Map<Hop, Set<T>> index, Hop hop, T transaction) {
-    Set<T> sharing = index.get(hop);
-    if (sharing != null && sharing.remove(transaction) && sharing.isEmpty()) {
+    Set<T> transactions = index.get(hop);
+    if (transactions != null && transactions.remove(transaction) && transactions.isEmpty()) {
       index.remove(hop);
     }
   }
@@ -210,117 +218,120 @@
   /**
    * Takes a message that was read whole.
    *
-   * @param arrived clock of its arrival at this machine, ms; it may have waited since
+   * @param arrivalMillis clock of its arrival at this machine, ms; it may have waited since
    */
-  public void receive(Hop from, SipMessage message, double arrived) {
-    arrival = arrived;
+  public void receive(Hop source, SipMessage message, double arrivalMillis) {
+    messageArrivalMillis = arrivalMillis;
     if (message instanceof SipRequest request) {
-      request(from, request);
+      receiveRequest(source, request);
     } else {
-      response((SipResponse) message);
+      receiveResponse((SipResponse) message);
     }
   }
 
-  private void response(SipResponse response) {
+  private void receiveResponse(SipResponse response) {
     Via via = response.via();
-    Transport by = Transport.fromName(via.transport());
-    if (by == null || !isOwn(via, host.localHop(by))) {
+    Transport transport = Transport.fromName(via.transport());
+    if (transport == null || !isLocal(via, host.localHop(transport))) {
       return;
     }
-    ClientTransaction client = clients.get(via.branch() + ' ' + response.cseq().method());
+    ClientTransaction client =
+        clientTransactions.get(via.branch() + ' ' + response.cseq().method());
     if (client != null) {
-      if (belongs(client.request(), response)) {
+      if (matches(client.request(), response)) {
         client.receive(response);
       }
     } else if (response.isSuccess() && response.cseq().method().equals("INVITE")) {
-      user.stray(response);
+      user.strayOk(response);
     }
   }
 
-  private static boolean isOwn(Via via, Hop local) {
+  private static boolean isLocal(Via via, Hop local) {
     return via.host().equals(local.host()) && via.portOrDefault() == local.port();
   }
 
   /** Guards against answers that bear another call's branch. */
-  private static boolean belongs(SipRequest request, SipResponse response) {
+  private static boolean matches(SipRequest request, SipResponse response) {
     return request.callId().equals(response.callId())
         && request.cseq().number() == response.cseq().number()
         && String.valueOf(request.fromTag()).equals(response.fromTag());
   }
 
-  private void request(Hop from, SipRequest request) {
-    markSource(from, request);
+  private void receiveRequest(Hop source, SipRequest request) {
+    recordSource(source, request);
     String key = serverKey(request, request.is("ACK") ? "INVITE" : request.method());
-    ServerTransaction known = servers.get(key);
+    ServerTransaction known = serverTransactions.get(key);
     if (request.is("ACK")) {
-      boolean taken = known instanceof InviteServerTransaction invite && invite.acknowledged();
-      if (!taken && !past.containsKey(digest(key))) {
+      boolean absorbed = known instanceof InviteServerTransaction invite && invite.receiveAck();
+      if (!absorbed && !endedInvites.containsKey(digest(key))) {
         user.ack(request);
       }
     } else if (known != null) {
-      known.repeated();
-    } else if (!past.containsKey(digest(key))) {
-      begin(key, from, request);
+      known.requestRetransmitted();
+    } else if (!endedInvites.containsKey(digest(key))) {
+      createServerTransaction(key, source, request);
     }
   }
 
   /** Writes down where a request came from (RFC 3261 section 18.2.1, RFC 3581 section 4). */
-  private static void markSource(Hop from, SipRequest request) {
+  private static void recordSource(Hop source, SipRequest request) {
     Via via = request.via();
-    boolean asked = via.params().has("rport");
-    if (asked || !via.host().equals(from.host())) {
-      via.params().set("received", from.host());
-      if (asked) {
-        via.params().set("rport", Integer.toString(from.port()));
+    boolean rportRequested = via.params().has("rport");
+    if (rportRequested || !via.host().equals(source.host())) {
+      via.params().set("received", source.host());
+      if (rportRequested) {
+        via.params().set("rport", Integer.toString(source.port()));
       }
       request.topVia(via);
     }
   }
 
-  private void begin(String key, Hop from, SipRequest request) {
-    if (servers.size() >= most) {
-      refuseStateless(from, request);
+  private void createServerTransaction(String key, Hop source, SipRequest request) {
+    if (serverTransactions.size() >= maxServerTransactions) {
+      rejectStateless(source, request);
       return;
     }
-    String merge = request.toTag() == null ? mergeKey(request) : null;
-    boolean merged = merge != null && initial.containsKey(merge) && !request.is("CANCEL");
-    ServerTransaction made =
+    String mergeKey = request.toTag() == null ? mergeKey(request) : null;
+    boolean merged =
+        mergeKey != null && initialRequests.containsKey(mergeKey) && !request.is("CANCEL");
+    ServerTransaction transaction =
         request.is("INVITE")
-            ? new InviteServerTransaction(this, request, from, arrival)
-            : new NonInviteServerTransaction(this, request, from, arrival);
-    hold(key, made);
+            ? new InviteServerTransaction(this, request, source, messageArrivalMillis)
+            : new NonInviteServerTransaction(this, request, source, messageArrivalMillis);
+    register(key, transaction);
     if (request.is("CANCEL")) {
-      cancel(made, request);
+      handleCancel(transaction, request);
     } else if (merged) {
-      made.respond(request.response(482));
+      transaction.respond(request.response(482));
     } else {
-      if (merge != null) {
-        initial.put(merge, key);
+      if (mergeKey != null) {
+        initialRequests.put(mergeKey, key);
       }
-      user.request(made, request);
+      user.request(transaction, request);
     }
   }
 
-  private void cancel(ServerTransaction cancel, SipRequest request) {
-    ServerTransaction invite = servers.get(serverKey(request, "INVITE"));
+  private void handleCancel(ServerTransaction cancel, SipRequest request) {
+    ServerTransaction invite = serverTransactions.get(serverKey(request, "INVITE"));
     cancel.respond(request.response(invite == null ? 481 : 200));
-    if (invite != null && !invite.answered()) {
+    if (invite != null && !invite.hasFinalResponse()) {
       user.cancelled(invite, request);
     }
   }
 
-  private void refuseStateless(Hop from, SipRequest request) {
+  private void rejectStateless(Hop source, SipRequest request) {
     SipResponse busy = request.response(503);
     busy.add("Retry-After", "1");
-    Transport by = from.transport();
-    host.send(by.isReliable() ? from : request.via().responseHop(by), busy.toBytes());
+    Transport transport = source.transport();
+    host.send(
+        transport.isReliable() ? source : request.via().responseHop(transport), busy.toBytes());
   }
 
   /** Answers a request that could not be read whole, without a transaction. */
-  public void rejectMalformed(Hop from, SipRequest request, int status, String phrase) {
-    Transport by = from.transport();
-    Hop to = by.isReliable() ? from : request.via().responseHop(by);
-    host.send(to, request.response(status, phrase).toBytes());
+  public void rejectMalformed(Hop source, SipRequest request, int status, String phrase) {
+    Transport transport = source.transport();
+    Hop responseHop = transport.isReliable() ? source : request.via().responseHop(transport);
+    host.send(responseHop, request.response(status, phrase).toBytes());
   }
 
   /** Key of a server transaction (RFC 3261 section 17.2.3), also without a unique branch. */
@@ -344,7 +355,7 @@
 
   /** A key in eight octets, salted so that nobody can make two alike. */
   private long digest(String key) {
-    long digest = salt;
+    long digest = digestSalt;
     for (int i = 0; i < key.length(); i++) {
       digest = (digest ^ key.charAt(i)) * 0x9e3779b97f4a7c15L;
       digest ^= digest >>> 29;
@@ -356,33 +367,33 @@
     return request.callId() + ' ' + request.fromTag() + ' ' + request.cseq();
   }
 
-  void over(ServerTransaction transaction) {
+  void transactionTerminated(ServerTransaction transaction) {
     SipRequest request = transaction.request();
     String key = serverKey(request, request.method());
-    servers.remove(key, transaction);
+    serverTransactions.remove(key, transaction);
     unlink(serversByConnection, transaction.source(), transaction);
     if (request.toTag() == null) {
-      initial.remove(mergeKey(request), key);
+      initialRequests.remove(mergeKey(request), key);
     }
     if (request.is("INVITE")) {
-      past.put(digest(key), true);
+      endedInvites.put(digest(key), true);
     }
-    transaction.tellOver();
+    transaction.notifyTerminated();
   }
 
   // ---- Transport errors ---------------------------------------------------------------------
 
   /** A connection could not be made, or broke. Each transaction that hangs on it hears of it. */
   public void connectionFailed(Hop hop, Failure failure) {
-    for (ClientTransaction client : snapshot(byConnection.get(hop))) {
-      client.lost(failure);
+    for (ClientTransaction client : snapshot(clientsByConnection.get(hop))) {
+      client.deliveryFailed(failure);
     }
     for (ServerTransaction server : snapshot(serversByConnection.get(hop))) {
-      server.lost();
+      server.connectionLost();
     }
   }
 
-  private static <T> List<T> snapshot(Set<T> held) {
-    return held == null ? List.of() : new ArrayList<>(held);
+  private static <T> List<T> snapshot(Set<T> transactions) {
+    return transactions == null ? List.of() : new ArrayList<>(transactions);
   }
 }
--- a/sip/src/main/java/coveladder/sip/TransactionUser.java
+++ b/sip/src/main/java/coveladder/sip/TransactionUser.java
@@ -13,5 +13,5 @@
   void cancelled(ServerTransaction invite, SipRequest cancel);
 
   /** A 2xx to an INVITE came whose transaction is over or was never here. */
-  void stray(SipResponse response);
+  void strayOk(SipResponse response);
 }
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -9,7 +9,7 @@
  * a dialog belongs to, and answers what is nobody's.
  */
 public final class UserAgent implements TransactionUser {
-  private static final Set<String> KNOWN =
+  private static final Set<String> SUPPORTED_METHODS =
       Set.of(
           "INVITE",
           "ACK",
@@ -24,16 +24,17 @@
           "NOTIFY");
 
   /** Methods told in Allow. */
-  public static final String ALLOW = String.join(", ", KNOWN.stream().sorted().toList());
+  public static final String ALLOW =
+      String.join(", ", SUPPORTED_METHODS.stream().sorted().toList());
 
   private final SipHost host;
   private final Timing timing;
   private final TransactionLayer transactionLayer;
   private final Owner owner;
   private final Map<String, CallLeg> legs = new HashMap<>();
-  private final Map<String, Runnable> asleep = new HashMap<>();
-  private final Map<ServerTransaction, CallLeg> taken = new HashMap<>();
-  private long tags;
+  private final Map<String, Runnable> deferredRestores = new HashMap<>();
+  private final Map<ServerTransaction, CallLeg> pendingLegs = new HashMap<>();
+  private long tagCount;
 
   /** What the owner of a user agent decides. */
   public interface Owner {
@@ -49,11 +50,11 @@
   }
 
   /** Makes a user agent with at most so many server transactions. */
-  public UserAgent(SipHost host, Timing timing, int most, Owner owner) {
+  public UserAgent(SipHost host, Timing timing, int maxServerTransactions, Owner owner) {
     this.host = host;
     this.timing = timing;
     this.owner = owner;
-    this.transactionLayer = new TransactionLayer(host, timing, most, this);
+    this.transactionLayer = new TransactionLayer(host, timing, maxServerTransactions, this);
   }
 
   /** The transactions. */
@@ -65,21 +66,21 @@
     return timing;
   }
 
-  SipHost.Timer after(double delay, Runnable task) {
-    return host.schedule(delay, task);
+  SipHost.Timer schedule(double delayMillis, Runnable task) {
+    return host.schedule(delayMillis, task);
   }
 
   /** A tag or Call-ID that no other has. */
   public String newTag() {
-    tags++;
-    return Long.toHexString(host.random().nextLong() >>> 8) + Long.toHexString(tags);
+    tagCount++;
+    return Long.toHexString(host.random().nextLong() >>> 8) + Long.toHexString(tagCount);
   }
 
   /** Own Contact toward a peer, by the transport that it uses. */
   public String contact(Hop peer) {
     Hop local = host.localHop(peer.transport());
-    String by = peer.transport() == Transport.TCP ? ";transport=tcp" : "";
-    return "<sip:" + local.host() + ':' + local.port() + by + '>';
+    String transportParameter = peer.transport() == Transport.TCP ? ";transport=tcp" : "";
+    return "<sip:" + local.host() + ':' + local.port() + transportParameter + '>';
   }
 
   /**
@@ -96,13 +97,13 @@
   /** Makes a call ready, with all its names, without sending anything yet. */
   public CallLeg prepare(SipRequest invite, Hop hop, CallListener listener) {
     invite.set("From", invite.header("From") + ";tag=" + newTag());
-    fill(invite, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
+    addRequiredHeaders(invite, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
     CallLeg leg = new CallLeg(this, invite, listener);
     leg.prepare(hop);
     return leg;
   }
 
-  private void fill(SipRequest request, String callId, Hop hop) {
+  private void addRequiredHeaders(SipRequest request, String callId, Hop hop) {
     request.set("Call-ID", callId);
     request.set("CSeq", new CSeq(1, request.method()).toString());
     if (request.header("Max-Forwards") == null) {
@@ -114,14 +115,15 @@
   }
 
   /** Sends a request outside all dialogs. */
-  public void sendOutsideDialog(SipRequest request, Hop hop, ClientTransaction.Listener answers) {
+  public void sendOutsideDialog(
+      SipRequest request, Hop hop, ClientTransaction.Listener responseListener) {
     if (request.fromTag() == null) {
       request.set("From", request.header("From") + ";tag=" + newTag());
     }
     if (request.callId() == null) {
-      fill(request, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
+      addRequiredHeaders(request, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
     }
-    transactionLayer.send(request, hop, answers);
+    transactionLayer.send(request, hop, responseListener);
   }
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -132,13 +134,13 @@
    *
    * @param key a dialog's, or that of the INVITE as it may come again
    */
-  public void deferRestore(String key, Runnable wake) {
-    asleep.put(key, wake);
+  public void deferRestore(String key, Runnable restore) {
+    deferredRestores.put(key, restore);
   }
 
   /** Expects it no more. */
   public void cancelDeferredRestore(String key) {
-    asleep.remove(key);
+    deferredRestores.remove(key);
   }
 
   /** Key of an INVITE outside of a dialog, whichever way it comes again. */
@@ -146,10 +148,10 @@
     return callId + ' ' + fromTag;
   }
 
-  private CallLeg find(String key) {
-    Runnable wake = asleep.isEmpty() ? null : asleep.get(key);
-    if (wake != null) {
-      wake.run();
+  private CallLeg findLeg(String key) {
+    Runnable restore = deferredRestores.isEmpty() ? null : deferredRestores.get(key);
+    if (restore != null) {
+      restore.run();
     }
     return legs.get(key);
   }
@@ -158,87 +160,87 @@
   public CallLeg resumeCaller(
       SipRequest invite,
       Hop hop,
-      SipResponse answered,
-      Dialog.Progress kept,
+      SipResponse okResponse,
+      Dialog.Progress stored,
       CallListener listener) {
     CallLeg leg = new CallLeg(this, invite, listener);
-    leg.resume(hop, answered, kept);
+    leg.resume(hop, okResponse, stored);
     return leg;
   }
 
   /**
    * Goes on with a call that stood, as its callee.
    *
-   * @param answered the 2xx as sent
+   * @param okResponse the 2xx as sent
    * @param acknowledged whether its ACK had come
    */
   public CallLeg resumeCallee(
       SipRequest invite,
       Hop source,
-      SipResponse answered,
+      SipResponse okResponse,
       boolean acknowledged,
-      Dialog.Progress kept,
+      Dialog.Progress stored,
       CallListener listener) {
-    InviteServerTransaction server = transactionLayer.revive(invite, source);
-    CallLeg leg = new CallLeg(this, server, answered.toTag(), listener);
+    InviteServerTransaction server = transactionLayer.resumeInvite(invite, source);
+    CallLeg leg = new CallLeg(this, server, okResponse.toTag(), listener);
     if (acknowledged) {
-      server.takeAsAccepted();
+      server.resumeAccepted();
     }
-    leg.resume(answered.header("To"), acknowledged ? null : answered, kept);
+    leg.resume(okResponse.header("To"), acknowledged ? null : okResponse, stored);
     return leg;
   }
 
   /** Takes up an INVITE that had no final answer, with the tag that its leg had. */
   public CallLeg resumePending(
       SipRequest invite, Hop source, String localTag, CallListener listener) {
-    InviteServerTransaction server = transactionLayer.revive(invite, source);
+    InviteServerTransaction server = transactionLayer.resumeInvite(invite, source);
     CallLeg leg = new CallLeg(this, server, localTag, listener);
-    server.whenRepeated(() -> listener.inviteRetransmitted(leg));
-    taken.put(server, leg);
+    server.onRetransmission(() -> listener.inviteRetransmitted(leg));
+    pendingLegs.put(server, leg);
     return leg;
   }
 
   /** Calls off an INVITE that may have left, as sent; {@code over} runs once that is over. */
-  public void cancelAfterRestart(SipRequest invite, Hop hop, Runnable over) {
-    transactionLayer.callOff(invite, hop, new Revived(invite, over));
+  public void cancelAfterRestart(SipRequest invite, Hop hop, Runnable onDone) {
+    transactionLayer.cancelAfterRestart(invite, hop, new CancelledInviteListener(invite, onDone));
   }
 
   /** Hears of an INVITE that was called off after a restart. */
-  private final class Revived implements ClientTransaction.Listener {
+  private final class CancelledInviteListener implements ClientTransaction.Listener {
     private final SipRequest invite;
-    private final Runnable over;
+    private final Runnable onDone;
     private boolean released;
 
-    Revived(SipRequest invite, Runnable over) {
+    CancelledInviteListener(SipRequest invite, Runnable onDone) {
       this.invite = invite;
-      this.over = over;
+      this.onDone = onDone;
     }
 
     @Override
     public void response(SipResponse response) {
       if (response.isSuccess() && !released) {
         released = true;
-        release(invite, response, over);
+        release(invite, response, onDone);
       } else if (!response.isProvisional() && !released) {
-        over.run();
+        onDone.run();
       }
     }
 
     @Override
     public void failed(Failure failure) {
       if (!released) {
-        over.run();
+        onDone.run();
       }
     }
   }
 
   // ---- For legs -----------------------------------------------------------------------------
 
-  void send(SipRequest request, Hop hop, ClientTransaction.Listener answers) {
+  void send(SipRequest request, Hop hop, ClientTransaction.Listener responseListener) {
     if (hop == null) {
-      answers.failed(Failure.REFUSED);
+      responseListener.failed(Failure.REFUSED);
     } else {
-      transactionLayer.send(request, hop, answers);
+      transactionLayer.send(request, hop, responseListener);
     }
   }
 
@@ -249,7 +251,7 @@
   }
 
   /** Sends an ACK that may have been sent before, with the Via that it has. */
-  void sendAgain(SipRequest ack, Hop hop) {
+  void resendAck(SipRequest ack, Hop hop) {
     if (ack.header("Via") == null) {
       sendAck(ack, hop);
     } else if (hop != null) {
@@ -257,16 +259,16 @@
     }
   }
 
-  void remember(Dialog dialog, CallLeg leg) {
+  void register(Dialog dialog, CallLeg leg) {
     legs.put(dialog.key(), leg);
   }
 
-  void forget(Dialog dialog) {
+  void unregister(Dialog dialog) {
     legs.remove(dialog.key());
   }
 
-  void answered(ServerTransaction invite) {
-    taken.remove(invite);
+  void inviteAnswered(ServerTransaction invite) {
+    pendingLegs.remove(invite);
   }
 
   /**
@@ -274,22 +276,22 @@
    * should this process end in between, the other side repeats its 2xx and so is released after
    * all. A caller may send BYE from the first answer on (RFC 3261 section 15).
    */
-  void release(SipRequest invite, SipResponse response, Runnable done) {
+  void release(SipRequest invite, SipResponse response, Runnable onDone) {
     Dialog dialog = Dialog.ofCaller(invite, response);
-    Runnable acknowledge = () -> sendAck(dialog.ack(response.cseq().number()), dialog.hop());
-    send(dialog.request("BYE"), dialog.hop(), new Released(acknowledge, dialog, done));
+    Runnable sendAck = () -> sendAck(dialog.ack(response.cseq().number()), dialog.hop());
+    send(dialog.request("BYE"), dialog.hop(), new ReleaseByeListener(sendAck, dialog, onDone));
   }
 
   /** Hears of the BYE that releases a late 2xx; one that wants its ACK first gets another BYE. */
-  private final class Released implements ClientTransaction.Listener {
-    private final Runnable acknowledge;
+  private final class ReleaseByeListener implements ClientTransaction.Listener {
+    private final Runnable sendAck;
     private final Dialog dialog;
-    private final Runnable done;
+    private final Runnable onDone;
 
-    Released(Runnable acknowledge, Dialog dialog, Runnable done) {
-      this.acknowledge = acknowledge;
+    ReleaseByeListener(Runnable sendAck, Dialog dialog, Runnable onDone) {
+      this.sendAck = sendAck;
       this.dialog = dialog;
-      this.done = done;
+      this.onDone = onDone;
     }
 
     @Override
@@ -297,17 +299,17 @@
       if (response.isProvisional()) {
         return;
       }
-      acknowledge.run();
+      sendAck.run();
       if (response.status() >= 490) {
         send(dialog.request("BYE"), dialog.hop(), ClientTransaction.Listener.IGNORE);
       }
-      done.run();
+      onDone.run();
     }
 
     @Override
     public void failed(Failure failure) {
-      acknowledge.run();
-      done.run();
+      sendAck.run();
+      onDone.run();
     }
   }
 
@@ -315,27 +317,27 @@
 
   @Override
   public void request(ServerTransaction transaction, SipRequest request) {
-    SipResponse unfit = unfit(request);
-    if (unfit != null) {
-      transaction.respond(unfit);
+    SipResponse rejection = validate(request);
+    if (rejection != null) {
+      transaction.respond(rejection);
     } else if (request.toTag() != null && !request.is("NOTIFY")) {
-      within(transaction, request);
+      receiveInDialog(transaction, request);
     } else if (request.is("INVITE")) {
-      begin(transaction);
-    } else if (request.is("OPTIONS") || owns(request)) {
+      receiveInvite(transaction);
+    } else if (request.is("OPTIONS") || isForOwner(request)) {
       owner.request(transaction, request);
     } else {
       transaction.respond(request.response(481));
     }
   }
 
-  private static boolean owns(SipRequest request) {
+  private static boolean isForOwner(SipRequest request) {
     return request.is("MESSAGE") || request.is("SUBSCRIBE") || request.is("NOTIFY");
   }
 
   /** The answer to a request that cannot be served whatever it asks (section 8.2), or null. */
-  private static SipResponse unfit(SipRequest request) {
-    if (!KNOWN.contains(request.method())) {
+  private static SipResponse validate(SipRequest request) {
+    if (!SUPPORTED_METHODS.contains(request.method())) {
       SipResponse response = request.response(501);
       response.add("Allow", ALLOW);
       return response;
@@ -355,8 +357,8 @@
     return null;
   }
 
-  private void within(ServerTransaction transaction, SipRequest request) {
-    CallLeg leg = find(Dialog.key(request.callId(), request.toTag(), request.fromTag()));
+  private void receiveInDialog(ServerTransaction transaction, SipRequest request) {
+    CallLeg leg = findLeg(Dialog.key(request.callId(), request.toTag(), request.fromTag()));
     if (leg == null) {
       transaction.respond(request.response(481));
     } else {
@@ -364,27 +366,29 @@
     }
   }
 
-  private void begin(ServerTransaction transaction) {
+  private void receiveInvite(ServerTransaction transaction) {
     SipRequest invite = transaction.request();
-    Runnable wake =
-        asleep.isEmpty() ? null : asleep.get(initialInviteKey(invite.callId(), invite.fromTag()));
-    if (wake != null) {
+    Runnable restore =
+        deferredRestores.isEmpty()
+            ? null
+            : deferredRestores.get(initialInviteKey(invite.callId(), invite.fromTag()));
+    if (restore != null) {
       // It stands since a life before: its repeat is no second call, and was answered.
-      wake.run();
+      restore.run();
       ((InviteServerTransaction) transaction).abandon();
       return;
     }
-    Router router = new Router();
-    CallLeg leg = new CallLeg(this, transaction, newTag(), router);
-    router.listener = owner.incoming(leg);
-    if (router.listener != null) {
-      taken.put(transaction, leg);
+    ListenerProxy proxy = new ListenerProxy();
+    CallLeg leg = new CallLeg(this, transaction, newTag(), proxy);
+    proxy.listener = owner.incoming(leg);
+    if (proxy.listener != null) {
+      pendingLegs.put(transaction, leg);
       owner.callAccepted(leg);
     }
   }
 
   /** Stands for the listener that the owner names once it saw the leg. */
-  private static final class Router implements CallListener {
+  private static final class ListenerProxy implements CallListener {
     private CallListener listener;
 
     @Override
@@ -415,32 +419,32 @@
 
   @Override
   public void ack(SipRequest ack) {
-    CallLeg leg = find(Dialog.key(ack.callId(), ack.toTag(), ack.fromTag()));
+    CallLeg leg = findLeg(Dialog.key(ack.callId(), ack.toTag(), ack.fromTag()));
     if (leg != null) {
-      leg.acknowledged(ack);
+      leg.handleAck(ack);
     }
   }
 
   @Override
   public void cancelled(ServerTransaction invite, SipRequest cancel) {
-    CallLeg leg = taken.get(invite);
+    CallLeg leg = pendingLegs.get(invite);
     if (leg != null) {
-      leg.cancelled();
+      leg.handleCancel();
     }
   }
 
   @Override
-  public void stray(SipResponse response) {
+  public void strayOk(SipResponse response) {
     SipRequest invite = new SipRequest("INVITE", "sip:unknown.invalid");
     invite.copyHeaders("From", response);
     invite.copyHeaders("Call-ID", response);
     invite.copyHeaders("CSeq", response);
-    CallLeg leg = find(Dialog.key(response.callId(), response.fromTag(), response.toTag()));
-    boolean standing = leg != null && leg.state() == CallLeg.State.CONFIRMED;
-    if (standing) {
-      leg.strayOk(response);
+    CallLeg leg = findLeg(Dialog.key(response.callId(), response.fromTag(), response.toTag()));
+    boolean established = leg != null && leg.state() == CallLeg.State.CONFIRMED;
+    if (established) {
+      leg.handleRetransmittedOk(response);
     }
-    if (!standing && response.addressHeader("Contact") != null && response.toTag() != null) {
+    if (!established && response.addressHeader("Contact") != null && response.toTag() != null) {
       release(invite, response, () -> {});
     }
   }
--- a/sip/src/test/java/coveladder/sip/FakeNet.java
+++ b/sip/src/test/java/coveladder/sip/FakeNet.java
@@ -13,52 +13,55 @@
 /** A network of a few stacks in virtual time; a message takes 5 ms, and a filter may lose it. */
 final class FakeNet {
   final List<Sent> sent = new ArrayList<>();
-  final Map<String, Endpoint> boxes = new HashMap<>();
-  Predicate<Sent> loses = s -> false;
+  final Map<String, Endpoint> endpoints = new HashMap<>();
+  Predicate<Sent> dropIf = s -> false;
   double now;
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
   private final SplittableRandom random;
-  private long order;
+  private long taskCount;
 
   FakeNet(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  record Sent(String from, Hop to, String text, double at) {}
+  record Sent(String from, Hop to, String text, double sentMillis) {}
 
-  private record Due(double at, long order, Runnable[] task) implements Comparable<Due> {
+  private record ScheduledTask(double dueMillis, long order, Runnable[] task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
-      int byTime = Double.compare(at, other.at);
+    public int compareTo(ScheduledTask other) {
+      int byTime = Double.compare(dueMillis, other.dueMillis);
       return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
   }
 
   Endpoint endpoint(String name) {
-    return boxes.computeIfAbsent(name, Endpoint::new);
+    return endpoints.computeIfAbsent(name, Endpoint::new);
   }
 
-  SipHost.Timer at(double delay, Runnable task) {
-    Runnable[] held = {task};
-    queue.add(new Due(now + delay, order++, held));
-    return () -> held[0] = null;
+  SipHost.Timer enqueue(double delayMillis, Runnable task) {
+    Runnable[] cancellableTask = {task};
+    queue.add(new ScheduledTask(now + delayMillis, taskCount++, cancellableTask));
+    return () -> cancellableTask[0] = null;
   }
 
-  void run(double lasts) {
-    double end = now + lasts;
-    while (!queue.isEmpty() && queue.peek().at() <= end) {
-      Due due = queue.poll();
-      now = due.at();
+  void run(double durationMillis) {
+    double endMillis = now + durationMillis;
+    while (!queue.isEmpty() && queue.peek().dueMillis() <= endMillis) {
+      ScheduledTask due = queue.poll();
+      now = due.dueMillis();
       if (due.task()[0] != null) {
         due.task()[0].run();
       }
     }
-    now = end;
+    now = endMillis;
   }
 
   /** Messages that one box sent and whose text begins so. */
-  List<Sent> from(String box, String begins) {
-    return sent.stream().filter(s -> s.from().equals(box) && s.text().startsWith(begins)).toList();
+  List<Sent> sentBy(String endpoint, String prefix) {
+    return sent.stream()
+        .filter(s -> s.from().equals(endpoint) && s.text().startsWith(prefix))
+        .toList();
   }
 
   /** One element with its stack. */
@@ -68,7 +71,7 @@
     final List<SipRequest> requests = new ArrayList<>();
     final List<CallLeg> calls = new ArrayList<>();
     final List<String> events = new ArrayList<>();
-    CallListener listener = new Notes();
+    CallListener listener = new EventRecorder();
 
     Endpoint(String name) {
       this.name = name;
@@ -76,7 +79,7 @@
     }
 
     /** Writes each event down. */
-    class Notes implements CallListener {
+    class EventRecorder implements CallListener {
       @Override
       public void progress(CallLeg leg, SipResponse response) {
         events.add("progress " + response.status());
@@ -119,11 +122,11 @@
       }
     }
 
-    CallLeg call(String other, Transport by) {
+    CallLeg call(String other, Transport transport) {
       SipRequest invite = new SipRequest("INVITE", "sip:x@" + other);
       invite.add("From", "<sip:me@" + name + ">");
       invite.add("To", "<sip:x@" + other + ">");
-      return stack.userAgent().call(invite, new Hop(by, other, 5060), listener);
+      return stack.userAgent().call(invite, new Hop(transport, other, 5060), listener);
     }
 
     @Override
@@ -133,7 +136,7 @@
 
     @Override
     public Timer schedule(double delay, Runnable task) {
-      return at(delay, task);
+      return enqueue(delay, task);
     }
 
     @Override
@@ -143,15 +146,15 @@
 
     @Override
     public void send(Hop to, byte[] message) {
-      if (boxes.get(name) != this) {
+      if (endpoints.get(name) != this) {
         return; // It was replaced: its machine is no more.
       }
-      Sent made = new Sent(name, to, new String(message, StandardCharsets.ISO_8859_1), now);
-      sent.add(made);
-      Endpoint other = boxes.get(to.host());
-      if (other != null && !loses.test(made)) {
+      Sent sentMessage = new Sent(name, to, new String(message, StandardCharsets.ISO_8859_1), now);
+      sent.add(sentMessage);
+      Endpoint other = endpoints.get(to.host());
+      if (other != null && !dropIf.test(sentMessage)) {
         Hop source = new Hop(to.transport(), name, 5060);
-        at(5, () -> other.stack.receive(source, message));
+        enqueue(5, () -> other.stack.receive(source, message));
       }
     }
 
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -18,7 +18,7 @@
 
   /** Puts an element without memory in the place of one. */
   private FakeNet.Endpoint restart(String name) {
-    net.boxes.remove(name);
+    net.endpoints.remove(name);
     return net.endpoint(name);
   }
 
@@ -31,14 +31,14 @@
   }
 
   private SipRequest invite() {
-    return (SipRequest) parse(net.from("a", "INVITE").get(0).text());
+    return (SipRequest) parse(net.sentBy("a", "INVITE").get(0).text());
   }
 
   private SipResponse ok() {
-    return (SipResponse) parse(net.from("b", "SIP/2.0 200").get(0).text());
+    return (SipResponse) parse(net.sentBy("b", "SIP/2.0 200").get(0).text());
   }
 
-  private CallLeg standing() {
+  private CallLeg establishedCall() {
     CallLeg leg = a.call("b", Transport.UDP);
     net.run(20);
     b.calls.get(0).accept(b.calls.get(0).response(200));
@@ -47,156 +47,168 @@
   }
 
   @Test
-  void aCallerGoesOnAndReleases() {
-    Dialog.Progress kept = standing().progress();
-    FakeNet.Endpoint again = restart("a");
-    CallLeg leg = again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+  void restartedCallerCanReleaseTheCall() {
+    Dialog.Progress stored = establishedCall().progress();
+    FakeNet.Endpoint restarted = restart("a");
+    CallLeg leg =
+        restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
     leg.bye(null);
     net.run(100);
     assertEquals(List.of("acknowledged", "ended"), b.events);
   }
 
   @Test
-  void aCallerGoesOnAndIsReleased() {
-    Dialog.Progress kept = standing().progress();
-    FakeNet.Endpoint again = restart("a");
-    again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+  void restartedCallerIsReleasedByTheCallee() {
+    Dialog.Progress stored = establishedCall().progress();
+    FakeNet.Endpoint restarted = restart("a");
+    restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
     b.calls.get(0).bye(null);
     net.run(100);
-    assertEquals(List.of("ended"), again.events);
+    assertEquals(List.of("ended"), restarted.events);
   }
 
   @Test
-  void aCallerWhoseAckWasLostWithItAcknowledgesTheRepeat() {
-    net.loses = s -> s.text().startsWith("ACK") && s.at() < 100;
-    Dialog.Progress kept = standing().progress();
-    FakeNet.Endpoint again = restart("a");
-    again.stack.userAgent().resumeCaller(invite(), TO_B, ok(), kept, again.listener);
+  void restartedCallerAcknowledgesARetransmittedOk() {
+    net.dropIf = s -> s.text().startsWith("ACK") && s.sentMillis() < 100;
+    Dialog.Progress stored = establishedCall().progress();
+    FakeNet.Endpoint restarted = restart("a");
+    restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
     net.run(2_000);
     assertEquals(List.of("acknowledged"), b.events);
-    assertEquals(0, net.from("a", "BYE").size());
+    assertEquals(0, net.sentBy("a", "BYE").size());
   }
 
   @Test
-  void aCalleeRepeatsItsAnswerUntilTheAck() {
+  void restartedCalleeRetransmitsItsOkUntilTheAck() {
     a.call("b", Transport.UDP);
     net.run(20);
-    net.loses = s -> s.text().startsWith("SIP/2.0 200");
+    net.dropIf = s -> s.text().startsWith("SIP/2.0 200");
     b.calls.get(0).accept(b.calls.get(0).response(200));
-    Dialog.Progress kept = b.calls.get(0).progress();
-    FakeNet.Endpoint again = restart("b");
-    net.loses = s -> false;
-    again
+    Dialog.Progress stored = b.calls.get(0).progress();
+    FakeNet.Endpoint restarted = restart("b");
+    net.dropIf = s -> false;
+    restarted
         .stack
         .userAgent()
         .resumeCallee(
-            (SipRequest) parse(received("INVITE")), TO_A, ok(), false, kept, again.listener);
+            (SipRequest) parse(requestAsReceived("INVITE")),
+            TO_A,
+            ok(),
+            false,
+            stored,
+            restarted.listener);
     net.run(2_000);
     assertEquals(List.of("answered"), a.events);
-    assertEquals(List.of("acknowledged"), again.events);
-    assertEquals(0, again.calls.size());
+    assertEquals(List.of("acknowledged"), restarted.events);
+    assertEquals(0, restarted.calls.size());
   }
 
   /** The INVITE as the callee had it, with where it came from. */
-  private String received(String begins) {
-    String sent = net.from("a", begins).get(0).text();
+  private String requestAsReceived(String prefix) {
+    String sent = net.sentBy("a", prefix).get(0).text();
     return sent.replaceFirst(";rport", ";rport=5060;received=a");
   }
 
   @Test
-  void aCalleeWhoseAckHadComeKeepsTheCallForLong() {
-    standing();
-    Dialog.Progress kept = b.calls.get(0).progress();
-    FakeNet.Endpoint again = restart("b");
+  void restartedCalleeKeepsAnAcknowledgedCall() {
+    establishedCall();
+    Dialog.Progress stored = b.calls.get(0).progress();
+    FakeNet.Endpoint restarted = restart("b");
     CallLeg leg =
-        again
+        restarted
             .stack
             .userAgent()
             .resumeCallee(
-                (SipRequest) parse(received("INVITE")), TO_A, ok(), true, kept, again.listener);
+                (SipRequest) parse(requestAsReceived("INVITE")),
+                TO_A,
+                ok(),
+                true,
+                stored,
+                restarted.listener);
     net.run(200_000);
     assertEquals(CallLeg.State.CONFIRMED, leg.state());
     assertEquals(List.of("answered"), a.events);
     assertTrue(leg.send("INFO", null, ClientTransaction.Listener.IGNORE));
     net.run(100);
-    assertEquals(1, net.from("b", "INFO").size());
+    assertEquals(1, net.sentBy("b", "INFO").size());
     leg.bye(null);
     net.run(100);
     assertEquals(List.of("answered", "ended"), a.events);
   }
 
   @Test
-  void aRepeatOfAnInviteThatWasCutShortFindsItsAnswer() {
+  void retransmissionOfAPendingInviteGetsItsFinalResponse() {
     a.call("b", Transport.UDP);
     net.run(20);
-    FakeNet.Endpoint again = restart("b");
+    FakeNet.Endpoint restarted = restart("b");
     CallLeg leg =
-        again
+        restarted
             .stack
             .userAgent()
-            .resumePending((SipRequest) parse(received("INVITE")), TO_A, "kept", again.listener);
+            .resumePending(
+                (SipRequest) parse(requestAsReceived("INVITE")), TO_A, "kept", restarted.listener);
     net.run(600);
-    assertEquals(0, again.calls.size());
+    assertEquals(0, restarted.calls.size());
     leg.reject(leg.response(503));
     net.run(5_000);
     assertEquals(List.of("rejected 503"), a.events);
-    assertTrue(net.from("b", "SIP/2.0 503").get(0).text().contains(";tag=kept"));
+    assertTrue(net.sentBy("b", "SIP/2.0 503").get(0).text().contains(";tag=kept"));
   }
 
-  private int ends;
+  private int completions;
 
-  private FakeNet.Endpoint calledOff() {
+  private FakeNet.Endpoint restartAndCancel() {
     SipRequest invite = invite();
-    FakeNet.Endpoint again = restart("a");
-    again.stack.userAgent().cancelAfterRestart(invite, TO_B, () -> ends++);
-    return again;
+    FakeNet.Endpoint restarted = restart("a");
+    restarted.stack.userAgent().cancelAfterRestart(invite, TO_B, () -> completions++);
+    return restarted;
   }
 
   @Test
-  void anAttemptThatIsOutIsCalledOff() {
+  void outstandingInviteIsCancelledAfterRestart() {
     a.call("b", Transport.UDP);
     net.run(20);
-    calledOff();
+    restartAndCancel();
     net.run(1_000);
-    assertEquals(1, ends);
+    assertEquals(1, completions);
     assertEquals(List.of("cancelled"), b.events);
   }
 
   @Test
-  void anAttemptThatNeverLeftIsOverWith481() {
-    net.loses = s -> s.text().startsWith("INVITE");
+  void inviteThatWasNeverDeliveredEndsWith481() {
+    net.dropIf = s -> s.text().startsWith("INVITE");
     a.call("b", Transport.UDP);
-    calledOff();
+    restartAndCancel();
     net.run(1_000);
-    assertEquals(1, ends);
-    assertEquals(1, net.from("a", "INVITE").size());
+    assertEquals(1, completions);
+    assertEquals(1, net.sentBy("a", "INVITE").size());
     assertEquals(0, b.calls.size());
   }
 
   @Test
-  void anAttemptThatWasAnsweredMeanwhileIsReleased() {
+  void inviteAnsweredDuringTheRestartIsReleased() {
     a.call("b", Transport.UDP);
     net.run(20);
-    net.loses = s -> s.text().startsWith("SIP/2.0 200");
+    net.dropIf = s -> s.text().startsWith("SIP/2.0 200");
     b.calls.get(0).accept(b.calls.get(0).response(200));
     net.run(2);
-    net.loses = s -> false;
-    calledOff();
+    net.dropIf = s -> false;
+    restartAndCancel();
     net.run(2_000);
-    assertEquals(1, ends);
+    assertEquals(1, completions);
     assertEquals(List.of("ended"), b.events);
-    assertEquals(1, net.from("a", "ACK").size());
+    assertEquals(1, net.sentBy("a", "ACK").size());
   }
 
   @Test
-  void anAttemptWhosePeerIsGoneIsOverAfter64T1() {
+  void inviteToAnUnreachablePeerEndsAfter64T1() {
     a.call("b", Transport.UDP);
     net.run(20);
-    net.loses = s -> s.from().equals("b");
-    calledOff();
+    net.dropIf = s -> s.from().equals("b");
+    restartAndCancel();
     net.run(31_000);
-    assertEquals(0, ends);
+    assertEquals(0, completions);
     net.run(2_000);
-    assertEquals(1, ends);
+    assertEquals(1, completions);
   }
 }
--- a/sip/src/test/java/coveladder/sip/TransactionsTest.java
+++ b/sip/src/test/java/coveladder/sip/TransactionsTest.java
@@ -13,8 +13,8 @@
   private final FakeNet.Endpoint a = net.endpoint("a");
   private final FakeNet.Endpoint b = net.endpoint("b");
 
-  private CallLeg answeredCall(Transport by) {
-    CallLeg leg = a.call("b", by);
+  private CallLeg answeredCall(Transport transport) {
+    CallLeg leg = a.call("b", transport);
     net.run(20);
     CallLeg callee = b.calls.get(0);
     callee.accept(callee.response(200));
@@ -23,58 +23,58 @@
   }
 
   @Test
-  void anInviteIsRepeatedAtDoublingGapsUntilTimerB() {
-    net.loses = s -> true;
+  void inviteIsRetransmittedAtDoublingIntervalsUntilTimerB() {
+    net.dropIf = s -> true;
     a.call("b", Transport.UDP);
     net.run(40_000);
-    List<FakeNet.Sent> invites = net.from("a", "INVITE");
+    List<FakeNet.Sent> invites = net.sentBy("a", "INVITE");
     assertEquals(7, invites.size());
-    assertEquals(31_500, invites.get(6).at());
+    assertEquals(31_500, invites.get(6).sentMillis());
     assertEquals(List.of("failed TIMED_OUT"), a.events);
   }
 
   @Test
-  void overTcpNothingIsRepeated() {
-    net.loses = s -> true;
+  void nothingIsRetransmittedOverTcp() {
+    net.dropIf = s -> true;
     a.call("b", Transport.TCP);
     net.run(40_000);
-    assertEquals(1, net.from("a", "INVITE").size());
+    assertEquals(1, net.sentBy("a", "INVITE").size());
   }
 
   @Test
-  void aHundredComesAfter200MsAndStopsTheRepeats() {
+  void tryingIsSentAfter200MsAndStopsRetransmission() {
     a.call("b", Transport.UDP);
     net.run(3_000);
-    assertEquals(205, net.from("b", "SIP/2.0 100").get(0).at());
-    assertEquals(1, net.from("a", "INVITE").size());
+    assertEquals(205, net.sentBy("b", "SIP/2.0 100").get(0).sentMillis());
+    assertEquals(1, net.sentBy("a", "INVITE").size());
     assertEquals(1, b.requests.size());
   }
 
   @Test
-  void aRefusalIsRepeatedUntilItsAckAndAckedEachTime() {
-    net.loses = s -> s.text().startsWith("ACK") && net.from("a", "ACK").size() < 3;
+  void errorResponseIsRetransmittedUntilItsAckAndAcknowledgedEachTime() {
+    net.dropIf = s -> s.text().startsWith("ACK") && net.sentBy("a", "ACK").size() < 3;
     a.call("b", Transport.UDP);
     net.run(20);
     b.calls.get(0).reject(b.calls.get(0).response(486));
     net.run(10_000);
-    assertEquals(3, net.from("b", "SIP/2.0 486").size());
-    assertEquals(3, net.from("a", "ACK").size());
+    assertEquals(3, net.sentBy("b", "SIP/2.0 486").size());
+    assertEquals(3, net.sentBy("a", "ACK").size());
     assertEquals(List.of("rejected 486"), a.events);
   }
 
   @Test
-  void a200IsRepeatedByTheCalleeUntilItsAck() {
-    net.loses = s -> s.text().startsWith("ACK") && net.from("a", "ACK").size() < 3;
+  void okIsRetransmittedByTheCalleeUntilItsAck() {
+    net.dropIf = s -> s.text().startsWith("ACK") && net.sentBy("a", "ACK").size() < 3;
     answeredCall(Transport.TCP);
     net.run(10_000);
-    assertEquals(3, net.from("b", "SIP/2.0 200").size());
+    assertEquals(3, net.sentBy("b", "SIP/2.0 200").size());
     assertEquals(List.of("answered"), a.events);
     assertEquals(List.of("acknowledged"), b.events);
   }
 
   @Test
-  void aCallNeverAcknowledgedIsReleased() {
-    net.loses = s -> s.text().startsWith("ACK");
+  void callWithoutAckIsReleased() {
+    net.dropIf = s -> s.text().startsWith("ACK");
     answeredCall(Transport.UDP);
     net.run(40_000);
     assertEquals(List.of("ended"), b.events);
@@ -82,10 +82,10 @@
   }
 
   @Test
-  void aRepeatedInviteIsAnsweredWithTheSameAndSeenOnce() {
+  void retransmittedInviteGetsTheSameResponseAndIsDeliveredOnce() {
     a.call("b", Transport.UDP);
     net.run(20);
-    byte[] invite = net.from("a", "INVITE").get(0).text().getBytes(StandardCharsets.ISO_8859_1);
+    byte[] invite = net.sentBy("a", "INVITE").get(0).text().getBytes(StandardCharsets.ISO_8859_1);
     b.calls.get(0).reject(b.calls.get(0).response(480));
     net.run(20);
     for (double wait : new double[] {10, 4_000, 40_000, 400_000}) {
@@ -94,35 +94,39 @@
     }
     net.run(1_000);
     assertEquals(1, b.calls.size());
-    assertTrue(net.from("b", "SIP/2.0").stream().allMatch(s -> s.text().startsWith("SIP/2.0 480")));
+    assertTrue(
+        net.sentBy("b", "SIP/2.0").stream().allMatch(s -> s.text().startsWith("SIP/2.0 480")));
   }
 
   @Test
-  void aMergedRequestIsTurnedAway() {
+  void mergedRequestIsRejected() {
     a.call("b", Transport.UDP);
     net.run(20);
     String other =
-        net.from("a", "INVITE").get(0).text().replaceFirst("branch=z9hG4bK", "branch=z9hG4bKother");
+        net.sentBy("a", "INVITE")
+            .get(0)
+            .text()
+            .replaceFirst("branch=z9hG4bK", "branch=z9hG4bKother");
     b.stack.receive(new Hop(Transport.UDP, "a", 5060), other.getBytes(StandardCharsets.ISO_8859_1));
-    assertEquals(1, net.from("b", "SIP/2.0 482").size());
+    assertEquals(1, net.sentBy("b", "SIP/2.0 482").size());
     assertEquals(1, b.calls.size());
   }
 
   @Test
-  void aCancelWaitsForTheFirstProvisionalAnswer() {
+  void cancelWaitsForTheFirstProvisionalResponse() {
     CallLeg leg = a.call("b", Transport.UDP);
     leg.cancel(null);
     net.run(100);
-    assertEquals(0, net.from("a", "CANCEL").size());
+    assertEquals(0, net.sentBy("a", "CANCEL").size());
     net.run(400);
-    assertEquals(1, net.from("a", "CANCEL").size());
+    assertEquals(1, net.sentBy("a", "CANCEL").size());
     assertEquals(List.of("rejected 487"), a.events);
     assertEquals(List.of("cancelled"), b.events);
   }
 
   @Test
-  void aCancelNeverAnsweredEndsAfter64T1() {
-    net.loses = s -> s.from().equals("b") && !s.text().startsWith("SIP/2.0 100");
+  void unansweredCancelEndsAfter64T1() {
+    net.dropIf = s -> s.from().equals("b") && !s.text().startsWith("SIP/2.0 100");
     CallLeg leg = a.call("b", Transport.UDP);
     net.run(500);
     leg.cancel(null);
@@ -133,36 +137,36 @@
   }
 
   @Test
-  void a200ThatCrossesTheCancelIsReleasedAtOnce() {
+  void okThatCrossesTheCancelIsReleasedAtOnce() {
     CallLeg leg = a.call("b", Transport.UDP);
     net.run(300);
     leg.cancel(null);
     b.calls.get(0).accept(b.calls.get(0).response(200));
     net.run(1_000);
     assertEquals(List.of("late"), a.events);
-    assertEquals(1, net.from("a", "BYE").size());
+    assertEquals(1, net.sentBy("a", "BYE").size());
     assertEquals(List.of("ended"), b.events);
   }
 
   @Test
-  void aSecondAnswerByAForkIsReleasedAndTheFirstStands() {
+  void secondForkedAnswerIsReleasedAndTheFirstStaysEstablished() {
     CallLeg leg = answeredCall(Transport.UDP);
     String other =
-        net.from("b", "SIP/2.0 200")
+        net.sentBy("b", "SIP/2.0 200")
             .get(0)
             .text()
             .replaceFirst(";tag=([0-9a-f]+)\r\nCall", ";tag=fork\r\nCall");
     a.stack.receive(new Hop(Transport.UDP, "b", 5060), other.getBytes(StandardCharsets.ISO_8859_1));
     net.run(100);
-    assertEquals(1, net.from("a", "BYE").size());
-    assertTrue(net.from("a", "BYE").get(0).text().contains("tag=fork"));
+    assertEquals(1, net.sentBy("a", "BYE").size());
+    assertTrue(net.sentBy("a", "BYE").get(0).text().contains("tag=fork"));
     assertEquals(CallLeg.State.CONFIRMED, leg.state());
   }
 
   @Test
-  void answersOfOthersAreNotTaken() {
+  void responsesOfOtherTransactionsAreIgnored() {
     a.call("b", Transport.UDP);
-    String invite = net.from("a", "INVITE").get(0).text();
+    String invite = net.sentBy("a", "INVITE").get(0).text();
     String ok =
         invite
             .replaceFirst("INVITE [^\r]*", "SIP/2.0 200 OK")
@@ -181,7 +185,7 @@
   }
 
   @Test
-  void aProvisionalAnswerAfterAFinalOneIsNothing() {
+  void provisionalResponseAfterAFinalOneIsIgnored() {
     CallLeg leg = a.call("b", Transport.UDP);
     net.run(20);
     CallLeg callee = b.calls.get(0);
@@ -194,7 +198,7 @@
   }
 
   @Test
-  void aByeOnAnEarlyDialogEndsTheCall() {
+  void byeOnAnEarlyDialogEndsTheCall() {
     CallLeg leg = a.call("b", Transport.UDP);
     net.run(20);
     CallLeg callee = b.calls.get(0);
@@ -207,7 +211,7 @@
   }
 
   @Test
-  void aLargeRequestGoesByTcpAndByUdpWhereThatIsRefused() {
+  void largeRequestUsesTcpAndFallsBackToUdpWhenRefused() {
     SipRequest invite = new SipRequest("INVITE", "sip:x@b");
     invite.add("From", "<sip:me@a>");
     invite.add("To", "<sip:x@b>");
@@ -222,58 +226,58 @@
   }
 
   @Test
-  void aBrokenConnectionEndsWhatHungOnIt() {
+  void connectionResetFailsItsTransactions() {
     a.call("b", Transport.TCP);
     net.run(20);
     a.stack.connectionFailed(new Hop(Transport.TCP, "b", 5060), Failure.RESET);
     assertEquals(List.of("failed RESET"), a.events);
     b.calls.get(0).accept(b.calls.get(0).response(200));
     net.run(1_000);
-    assertEquals(1, net.from("a", "BYE").size());
+    assertEquals(1, net.sentBy("a", "BYE").size());
     assertEquals(List.of("failed RESET"), a.events);
   }
 
   @Test
-  void anAnswerWhoseConnectionIsGoneLeavesForTheSentByAddress() {
+  void responseGoesToTheSentByAddressAfterConnectionLoss() {
     a.call("b", Transport.TCP);
     Hop ephemeral = new Hop(Transport.TCP, "a", 40_000);
-    String invite = net.from("a", "INVITE").get(0).text();
+    String invite = net.sentBy("a", "INVITE").get(0).text();
     b.stack.receive(ephemeral, invite.getBytes(StandardCharsets.ISO_8859_1));
     b.calls.get(0).reject(b.calls.get(0).response(486));
     b.stack.connectionFailed(ephemeral, Failure.RESET);
-    List<FakeNet.Sent> answers = net.from("b", "SIP/2.0 486");
+    List<FakeNet.Sent> answers = net.sentBy("b", "SIP/2.0 486");
     assertEquals(List.of(40_000, 5060), answers.stream().map(s -> s.to().port()).toList());
   }
 
   @Test
-  void reinvitesThatMeetAreAnswered491() {
+  void crossingReinvitesAreAnswered491() {
     CallLeg leg = answeredCall(Transport.UDP);
     CallLeg callee = b.calls.get(0);
     assertTrue(leg.send("INVITE", null, ClientTransaction.Listener.IGNORE));
     assertTrue(callee.send("INVITE", null, ClientTransaction.Listener.IGNORE));
     net.run(100);
-    assertEquals(1, net.from("a", "SIP/2.0 491").size());
-    assertEquals(1, net.from("b", "SIP/2.0 491").size());
+    assertEquals(1, net.sentBy("a", "SIP/2.0 491").size());
+    assertEquals(1, net.sentBy("b", "SIP/2.0 491").size());
   }
 
   @Test
-  void requestsOutOfOrderAreTurnedAway() {
+  void outOfOrderRequestsAreRejected() {
     CallLeg leg = answeredCall(Transport.UDP);
     leg.send("INFO", null, ClientTransaction.Listener.IGNORE);
     leg.send("INFO", null, ClientTransaction.Listener.IGNORE);
     net.run(100);
-    String first = net.from("a", "INFO").get(0).text().replaceFirst("branch=", "branch=z9hG4bKx");
+    String first = net.sentBy("a", "INFO").get(0).text().replaceFirst("branch=", "branch=z9hG4bKx");
     b.stack.receive(new Hop(Transport.UDP, "a", 5060), first.getBytes(StandardCharsets.ISO_8859_1));
-    assertEquals(1, net.from("b", "SIP/2.0 500").size());
+    assertEquals(1, net.sentBy("b", "SIP/2.0 500").size());
   }
 
   @Test
-  void oneTransactionTooManyIsTurnedAwayWithout() {
+  void excessRequestIsRejectedWithoutATransaction() {
     for (int i = 0; i < 101; i++) {
       a.call("b", Transport.UDP);
     }
     net.run(6);
-    assertEquals(1, net.from("b", "SIP/2.0 503").size());
+    assertEquals(1, net.sentBy("b", "SIP/2.0 503").size());
     assertEquals(100, b.calls.size());
   }
 }
