--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -1,23 +1,23 @@
 package coveladder.sip;
 
 /**
- * One INVITE dialog usage, as caller or callee (RFC 3261 sections 13 to 15): from the first INVITE
- * to BYE. All methods that act on a leg in the wrong state do nothing, as crossing messages make
- * every order possible.
+ * One INVITE dialog usage, as caller or callee (RFC 3261 sections 13 to 15), from the first INVITE
+ * to the BYE. A method called in a state that does not allow it does nothing, because messages that
+ * cross on the network can arrive in any order.
  */
 public final class CallLeg {
 
-  /** Where the call is. */
+  /** The state of the call on this leg. */
   public enum State {
-    /** INVITE out or in, no final answer. */
+    /** The INVITE was sent or received; no final response yet. */
     CALLING,
-    /** Caller's side: called off, final answer awaited. */
+    /** Caller's side: cancelled; the final response is still awaited. */
     CANCELLING,
-    /** 2xx out or in, ACK not yet. */
+    /** A 2xx was sent or received; no ACK yet. */
     ANSWERED,
-    /** The call stands. */
+    /** The call is established. */
     CONFIRMED,
-    /** Over. */
+    /** The call has ended. */
     ENDED
   }
 
@@ -42,7 +42,7 @@
   private Hop peerHop;
   private ReinviteOkRetransmitter unacknowledgedReinviteOk;
 
-  /** Makes the caller's side; the INVITE leaves by {@link #sendInvite}. */
+  /** Creates the caller's side; {@link #sendInvite} sends the INVITE. */
   CallLeg(UserAgent userAgent, SipRequest invite, CallListener listener) {
     this.userAgent = userAgent;
     this.isCaller = true;
@@ -51,7 +51,7 @@
     this.localTag = invite.fromTag();
   }
 
-  /** Makes the callee's side. */
+  /** Creates the callee's side. */
   CallLeg(
       UserAgent userAgent,
       ServerTransaction serverTransaction,
@@ -65,7 +65,7 @@
     this.localTag = localTag;
   }
 
-  /** Goes on, as caller, with a call that stood before a restart. */
+  /** Resumes, as caller, a call that was established before a restart. */
   void resume(Hop hop, SipResponse okResponse, Dialog.Progress stored) {
     peerHop = hop;
     replaceDialog(Dialog.ofCaller(invite, okResponse));
@@ -74,9 +74,10 @@
   }
 
   /**
-   * Goes on, as callee, with a call that stood before a restart.
+   * Resumes, as callee, a call that was answered before a restart.
    *
-   * @param okResponse the 2xx, sent again until its ACK comes; null where that had come
+   * @param okResponse the 2xx, retransmitted until its ACK arrives; null if the ACK had arrived
+   *     before the restart
    */
   void resume(String toHeader, SipResponse okResponse, Dialog.Progress stored) {
     peerHop = serverTransaction.source();
@@ -89,34 +90,37 @@
     dialog.resume(stored);
   }
 
-  /** A 2xx that came again although its transaction is over: the other side missed the ACK. */
+  /** Acknowledges a 2xx received after its transaction ended: the remote side missed the ACK. */
   void handleRetransmittedOk(SipResponse response) {
     if (isCaller && state == State.CONFIRMED) {
       userAgent.sendAck(dialog.ack(response.cseq().number()), dialog.hop());
     }
   }
 
-  /** Own tag on this leg. */
+  /** The local tag of this leg. */
   public String localTag() {
     return localTag;
   }
 
-  /** What has changed in the dialog since it was made; null before there is one. */
+  /** The changeable state of the dialog; null before the dialog exists. */
   public Dialog.Progress progress() {
     return dialog == null ? null : dialog.progress();
   }
 
-  /** The INVITE that began it; null once a call stands for so long that no repeat can come. */
+  /**
+   * The initial INVITE; null once the call is established and the transaction has ended, when the
+   * INVITE can no longer be retransmitted.
+   */
   public SipRequest invite() {
     return invite;
   }
 
-  /** Where the call is. */
+  /** The state of the call on this leg. */
   public State state() {
     return state;
   }
 
-  /** Where the INVITE went or came from. */
+  /** The hop that the INVITE was sent to or received from. */
   public Hop hop() {
     if (peerHop != null) {
       return peerHop;
@@ -125,8 +129,8 @@
   }
 
   /**
-   * Once the INVITE's transaction is over nothing can ask for what it said: a call that stands for
-   * long keeps its dialog only.
+   * Drops the messages and timers of the INVITE once its transaction has ended. Nothing can refer
+   * to them any more, so an established call keeps only its dialog.
    */
   private void discardInviteTransaction() {
     if (state == State.CONFIRMED) {
@@ -141,17 +145,17 @@
     }
   }
 
-  /** Own Contact on this leg. */
+  /** The local Contact of this leg. */
   public String contact() {
     return userAgent.contact(hop());
   }
 
-  /** Time since the INVITE came to this machine, ms. */
+  /** Time since the INVITE arrived at this host, in milliseconds. */
   public double millisSinceInvite(double nowMillis) {
     return nowMillis - serverTransaction.arrivalMillis();
   }
 
-  /** Whether an INVITE or final answer is still awaited from the other side. */
+  /** Whether this side is the caller and still awaits the final response to its INVITE. */
   public boolean isOutstanding() {
     return isCaller && (state == State.CALLING || state == State.CANCELLING);
   }
@@ -164,12 +168,12 @@
             userAgent.transactionLayer().prepare(invite, hop, new InviteResponseListener());
   }
 
-  /** Sends the INVITE of a leg that {@link UserAgent#prepare} made ready. */
+  /** Sends the INVITE of a leg created by {@link UserAgent#prepare}. */
   public void sendInvite() {
     userAgent.transactionLayer().begin(clientTransaction);
   }
 
-  /** Hears the answers to the first INVITE. */
+  /** Handles the responses to the initial INVITE. */
   private final class InviteResponseListener implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
@@ -207,7 +211,10 @@
     }
   }
 
-  /** Guards against answers that cross our CANCEL, repeats, and a second answer by a fork. */
+  /**
+   * Handles a 2xx, including one that crosses the CANCEL, a retransmission, and a second 2xx from
+   * another fork.
+   */
   private void handleSuccess(SipResponse response) {
     boolean first = dialog == null || isOutstanding();
     if (state == State.CANCELLING) {
@@ -230,7 +237,7 @@
   /**
    * Acknowledges the 2xx.
    *
-   * @param bodySource message whose body goes along, an answer to an offer in the 2xx; or null
+   * @param bodySource message whose body is copied, the SDP answer to an offer in the 2xx; or null
    */
   public void ack(SipMessage bodySource) {
     if (isCaller && state == State.ANSWERED) {
@@ -241,7 +248,7 @@
     }
   }
 
-  /** Calls the INVITE off; a late 2xx is released at once. */
+  /** Cancels the INVITE. A 2xx that still arrives is released at once. */
   public void cancel(String reason) {
     if (isCaller && state == State.CALLING) {
       state = State.CANCELLING;
@@ -251,12 +258,12 @@
 
   // ---- Callee's side ------------------------------------------------------------------------
 
-  /** A response to the INVITE with this leg's tag and contact. */
+  /** Creates a response to the INVITE with this leg's tag and Contact. */
   public SipResponse response(int status) {
     return response(status, SipResponse.reasonPhrase(status));
   }
 
-  /** The same with a reason phrase of one's own. */
+  /** Like {@link #response(int)}, with the given reason phrase. */
   public SipResponse response(int status, String phrase) {
     SipResponse response = invite.response(status, phrase);
     if (status > 100) {
@@ -277,7 +284,7 @@
     return toHeader + ";tag=" + localTag;
   }
 
-  /** Sends a provisional answer, made by {@link #response}. */
+  /** Sends a provisional response created by {@link #response}. */
   public void progress(SipResponse response) {
     if (!isCaller && state == State.CALLING) {
       createEarlyDialog(response);
@@ -292,7 +299,7 @@
     }
   }
 
-  /** Answers with a 2xx, made by {@link #response}; it is repeated until the ACK comes. */
+  /** Answers with a 2xx created by {@link #response}, retransmitted until the ACK arrives. */
   public void accept(SipResponse response) {
     if (!isCaller && state == State.CALLING) {
       createEarlyDialog(response);
@@ -323,7 +330,7 @@
     }
   }
 
-  /** Answers with a final response other than 2xx; the leg is over. */
+  /** Answers with a final response other than 2xx, which ends the leg. */
   public void reject(SipResponse response) {
     if (!isCaller && state == State.CALLING) {
       end();
@@ -331,9 +338,7 @@
     }
   }
 
-  /**
-   * Lets go of an INVITE that will not be answered here; its caller had its answer, or has left.
-   */
+  /** Ends the leg without a response: the caller already has one, or has disconnected. */
   public void abandon() {
     if (!isCaller && state == State.CALLING) {
       end();
@@ -349,7 +354,7 @@
 
   // ---- Within the dialog --------------------------------------------------------------------
 
-  /** Ends an answered call; {@code reason} is the value of a Reason field, or null. */
+  /** Ends an answered call; {@code reason} is the value of a Reason header field, or null. */
   public void bye(String reason) {
     if (state == State.ANSWERED || state == State.CONFIRMED) {
       if (isCaller && state == State.ANSWERED) {
@@ -365,7 +370,7 @@
     }
   }
 
-  /** Whether our BYE is out and not answered. */
+  /** Whether a BYE from this side is outstanding. */
   public boolean isReleasing() {
     return releasing;
   }
@@ -375,7 +380,7 @@
     listener.released(this);
   }
 
-  /** Hears of the end of our BYE, whatever it is. */
+  /** Reports the release once the BYE has any final response or has failed. */
   private final class ByeResponseListener implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
@@ -391,17 +396,21 @@
   }
 
   /**
-   * Sends a request within the dialog; INVITE and UPDATE among them. Whether it could be sent: not
-   * without a dialog, nor an INVITE while another is under way (RFC 3261 section 14.1).
+   * Sends a request within the dialog, INVITE and UPDATE included. Returns false, without sending
+   * it, if there is no active dialog, or for an INVITE while another is in progress (RFC 3261
+   * section 14.1).
    *
-   * @param source message whose body and end-to-end fields are copied
+   * @param source message whose body and end-to-end header fields are copied
    */
   public boolean send(
       String method, SipMessage source, ClientTransaction.Listener responseListener) {
     return send(method, source, null, responseListener);
   }
 
-  /** The same with the value of a RAck field (RFC 3262), or null. */
+  /**
+   * Like {@link #send(String, SipMessage, ClientTransaction.Listener)}, with the value of a RAck
+   * header field (RFC 3262), or null.
+   */
   public boolean send(
       String method, SipMessage source, String rack, ClientTransaction.Listener responseListener) {
     boolean reinvite = method.equals("INVITE");
@@ -423,7 +432,7 @@
     return true;
   }
 
-  /** Hears the answers to a re-INVITE and sees that each is acknowledged. */
+  /** Handles the responses to a re-INVITE and acknowledges each 2xx. */
   private final class ReinviteResponseListener implements ClientTransaction.Listener {
     private final SipRequest reinvite;
     private final ClientTransaction.Listener delegate;
@@ -470,7 +479,7 @@
     }
   }
 
-  /** Acknowledges a re-INVITE whose 2xx held the offer, with the answer to it. */
+  /** Acknowledges a re-INVITE whose 2xx carried an SDP offer, with the answer to it. */
   public void acknowledgeReinvite(SipMessage bodySource) {
     if (reinviteAwaitingAck != null) {
       ReinviteResponseListener pendingReinvite = reinviteAwaitingAck;
@@ -511,7 +520,7 @@
     }
   }
 
-  /** Answers a re-INVITE that {@link CallListener#request} brought. */
+  /** Answers a re-INVITE reported by {@link CallListener#request}. */
   public void answerReinvite(ServerTransaction transaction, SipResponse response) {
     if (!response.isProvisional()) {
       remoteReinvitePending = false;
@@ -522,7 +531,7 @@
     transaction.respond(response);
   }
 
-  /** Repeats a 2xx to a re-INVITE until its ACK, over UDP and TCP alike. */
+  /** Retransmits a 2xx to a re-INVITE until its ACK arrives, over UDP and TCP alike. */
   private final class ReinviteOkRetransmitter {
     private final ServerTransaction transaction;
     private final SipResponse response;
--- a/sip/src/main/java/coveladder/sip/ClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ClientTransaction.java
@@ -19,9 +19,9 @@
     this.listener = listener;
   }
 
-  /** What the owner of a transaction hears of it. */
+  /** Receives the outcome of a transaction. */
   public interface Listener {
-    /** Takes no interest in what comes. */
+    /** Ignores all events. */
     Listener IGNORE =
         new Listener() {
           @Override
@@ -31,13 +31,16 @@
           public void failed(Failure failure) {}
         };
 
-    /** A response came; several provisional ones may, and one final, or more 2xx to an INVITE. */
+    /**
+     * A response arrived: any number of provisional ones and one final one, or several 2xx to an
+     * INVITE.
+     */
     void response(SipResponse response);
 
-    /** No final answer will come. */
+    /** No final response will arrive. */
     void failed(Failure failure);
 
-    /** The transaction is over: repeats of its answers are no longer taken. */
+    /** The transaction has terminated: retransmitted responses are no longer matched to it. */
     default void terminated() {}
   }
 
@@ -46,7 +49,7 @@
     return request;
   }
 
-  /** Where it was sent. */
+  /** The hop that the request is sent to. */
   public Hop hop() {
     return hop;
   }
@@ -60,15 +63,15 @@
 
   abstract void receive(SipResponse response);
 
-  /** Whether a final answer is still awaited. */
+  /** Whether a final response is still awaited. */
   abstract boolean isAwaitingFinalResponse();
 
-  /** Enters the last state. */
+  /** Sets the state to terminated. */
   abstract void enterTerminatedState();
 
   abstract void stopTimers();
 
-  /** The transport could not deliver to this hop, or lost its connection. */
+  /** Handles a transport that could not deliver to this hop, or lost its connection. */
   void deliveryFailed(Failure failure) {
     if (isAwaitingFinalResponse()) {
       stopTimers();
@@ -95,7 +98,7 @@
     layer.transactionTerminated(this);
   }
 
-  /** The request's octets, made once. */
+  /** The encoded request, cached. */
   byte[] encodedRequest() {
     if (encodedRequest == null) {
       encodedRequest = request.toBytes();
@@ -107,15 +110,15 @@
     layer.host().send(hop, encodedRequest());
   }
 
-  /** Goes by TCP as the request is too large for a datagram; it may fall back to UDP. */
+  /** Switches to TCP because the request is too large for a datagram; it may fall back to UDP. */
   void switchToTcp() {
     switchedToTcp = true;
     changeHop(hop.withTransport(Transport.TCP));
   }
 
   /**
-   * Goes back to UDP where no connection could be had for a large request (RFC 3261 section
-   * 18.1.1); whether it did.
+   * Falls back to UDP if a large request could not be sent because the TCP connection was refused
+   * (RFC 3261 section 18.1.1). Returns whether it did.
    */
   boolean fallBackToUdp(Failure failure) {
     if (failure != Failure.REFUSED || !switchedToTcp) {
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * A dialog (RFC 3261 section 12): who talks to whom, by which route, with which numbers.
+ * A dialog (RFC 3261 section 12): its identifiers, route set, remote target and sequence numbers.
  *
- * <p>It makes requests within the dialog and keeps the order of those that come in.
+ * <p>It creates requests within the dialog and checks the order of received ones.
  */
 public final class Dialog {
   private static final long SEQUENCE_GAP_PER_INCARNATION = 1_000;
@@ -38,7 +38,7 @@
     this.contact = contact;
   }
 
-  /** The dialog that a caller has by a response with a tag (section 12.1.2). */
+  /** Creates the caller's dialog from a response with a tag (section 12.1.2). */
   public static Dialog ofCaller(SipRequest invite, SipResponse response) {
     List<String> routeSet = response.headers("Record-Route");
     Collections.reverse(routeSet);
@@ -55,7 +55,9 @@
     return dialog;
   }
 
-  /** The dialog that a callee has by its own answer with a tag (section 12.1.1). */
+  /**
+   * Creates the callee's dialog from the tagged To header field of its response (section 12.1.1).
+   */
   public static Dialog ofCallee(SipRequest invite, String toHeader, String contact) {
     Dialog dialog =
         new Dialog(
@@ -80,19 +82,21 @@
   }
 
   /**
-   * What has changed since the messages that made the dialog: own and other's number, target.
+   * The part of a dialog that changes after the messages that created it: sequence numbers and
+   * target.
    *
-   * @param localSequence last own number
-   * @param remoteSequence last number of the other side
-   * @param remoteTarget where requests go
+   * @param localSequence sequence number of the last request sent
+   * @param remoteSequence sequence number of the last request received
+   * @param remoteTarget URI that requests are sent to
    */
   public record Progress(long localSequence, long remoteSequence, String remoteTarget) {
 
     /**
-     * The same in a later life of this side. Own numbers jump past all that a life before may have
-     * used without keeping it; a gap is in order (section 12.2.1.1).
+     * The same state for a later incarnation of this process. The local sequence number skips all
+     * that an earlier incarnation may have used without persisting it; gaps are allowed (section
+     * 12.2.1.1).
      *
-     * @param incarnation number of that life, from 1 on; it grows with each
+     * @param incarnation number of the incarnation, from 1 on, increasing with each restart
      */
     public Progress forIncarnation(int incarnation) {
       return new Progress(
@@ -100,29 +104,29 @@
     }
   }
 
-  /** What has changed since the dialog was made. */
+  /** The changeable state of the dialog. */
   public Progress progress() {
     return new Progress(localSequence, remoteSequence, remoteTarget);
   }
 
-  /** Goes on from what was kept. */
+  /** Restores the stored state. */
   public void resume(Progress stored) {
     localSequence = stored.localSequence();
     remoteSequence = stored.remoteSequence();
     remoteTarget = stored.remoteTarget();
   }
 
-  /** The key that requests from the other side find this dialog by. */
+  /** The key by which requests from the remote side are matched to this dialog. */
   public String key() {
     return key(callId, localTag, remoteTag);
   }
 
-  /** Key of a dialog as seen from one side. */
+  /** Key of a dialog from the point of view of one side. */
   public static String key(String callId, String localTag, String remoteTag) {
     return callId + ' ' + localTag + ' ' + remoteTag;
   }
 
-  /** The other side's tag. */
+  /** The remote tag. */
   public String remoteTag() {
     return remoteTag;
   }
@@ -132,13 +136,13 @@
     return callId;
   }
 
-  /** A new request in this dialog (section 12.2.1.1); an ACK bears the number of its INVITE. */
+  /** Creates a request in this dialog with the next sequence number (section 12.2.1.1). */
   public SipRequest request(String method) {
     localSequence++;
     return request(method, localSequence);
   }
 
-  /** The ACK to a 2xx that answered the INVITE of this number (section 13.2.2.4). */
+  /** Creates the ACK to a 2xx; it carries the sequence number of the INVITE (section 13.2.2.4). */
   public SipRequest ack(long inviteSequence) {
     return request("ACK", inviteSequence);
   }
@@ -172,7 +176,7 @@
     return uri != null && uri.params().has("lr");
   }
 
-  /** Where requests of this dialog go; null where no place can be told from its URIs. */
+  /** The hop that requests of this dialog are sent to; null if its URIs do not give one. */
   public Hop hop() {
     NameAddr firstRoute = routeSet.isEmpty() ? null : NameAddr.parse(routeSet.get(0));
     SipUri uri = SipUri.parse(firstRoute == null ? remoteTarget : firstRoute.uri());
@@ -180,8 +184,8 @@
   }
 
   /**
-   * Takes note of a request from the other side; whether its number is in order. One that refreshes
-   * the target (INVITE, UPDATE) gives a new address.
+   * Records a received request and returns whether its sequence number is in order. A target
+   * refresh request (INVITE, UPDATE) updates the remote target.
    */
   public boolean receive(SipRequest request) {
     long sequence = request.cseq().number();
@@ -193,7 +197,7 @@
     return true;
   }
 
-  /** Takes the address of a message that refreshes the target (section 12.2). */
+  /** Updates the remote target from a target refresh request or its response (section 12.2). */
   public void refresh(SipMessage message) {
     String method = message.cseq().method();
     if (method.equals("INVITE") || method.equals("UPDATE")) {
--- a/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteClientTransaction.java
@@ -1,11 +1,12 @@
 package coveladder.sip;
 
 /**
- * The INVITE client transaction: RFC 3261 figure 5 with the Accepted state of RFC 6026 section 8.4.
+ * The INVITE client transaction: RFC 3261 figure 5, with the Accepted state of RFC 6026 section
+ * 8.4.
  */
 public final class InviteClientTransaction extends ClientTransaction {
 
-  /** The states of the figure. */
+  /** States of RFC 3261 figure 5 and RFC 6026. */
   enum State {
     CALLING,
     PROCEEDING,
@@ -38,8 +39,9 @@
   }
 
   /**
-   * Goes on, after a restart, with an INVITE that may have left: it is not sent again, and called
-   * off at once. That the other side does not know it (481 to the CANCEL) is an end as well.
+   * Resumes, after a restart, an INVITE that may have been sent: it is cancelled at once and not
+   * sent again. A 481 to the CANCEL, from a remote side that does not know the INVITE, also ends
+   * the transaction.
    */
   void cancelAfterRestart(String reason) {
     state = State.PROCEEDING;
@@ -56,7 +58,7 @@
     }
   }
 
-  /** Hears what becomes of the CANCEL. */
+  /** Handles the response to the CANCEL. */
   private final class CancelResponseListener implements Listener {
     @Override
     public void response(SipResponse response) {
@@ -65,7 +67,7 @@
 
     @Override
     public void failed(Failure failure) {
-      // The INVITE's own end, or its timer, tells what is to be known.
+      // The final response to the INVITE, or its timeout, decides the outcome.
     }
   }
 
@@ -120,10 +122,11 @@
   }
 
   /**
-   * Calls the request off. The CANCEL waits for the first provisional answer (RFC 3261 section
-   * 9.1); then the end is a final answer, or a time-out 64*T1 after the CANCEL.
+   * Cancels the request. The CANCEL is sent only after the first provisional response (RFC 3261
+   * section 9.1). The transaction then ends with a final response, or by timeout 64*T1 after the
+   * CANCEL.
    *
-   * @param reason value of a Reason field (RFC 3326), or null
+   * @param reason value of a Reason header field (RFC 3326), or null
    */
   public void cancel(String reason) {
     if (!cancelRequested) {
@@ -144,7 +147,7 @@
     timerB = schedule(timing.transactionTimeout(), this::timeOut);
   }
 
-  /** The ACK to a final answer other than 2xx (RFC 3261 section 17.1.1.3). */
+  /** Creates the ACK to a final response other than 2xx (RFC 3261 section 17.1.1.3). */
   private SipRequest ackFor(SipResponse response) {
     SipRequest ackRequest = requestWithSameBranch("ACK");
     ackRequest.set("To", response.header("To"));
--- a/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/InviteServerTransaction.java
@@ -1,13 +1,14 @@
 package coveladder.sip;
 
 /**
- * The INVITE server transaction: RFC 3261 figure 7 with the Accepted state of RFC 6026 section 8.5.
+ * The INVITE server transaction: RFC 3261 figure 7, with the Accepted state of RFC 6026 section
+ * 8.5.
  */
 public final class InviteServerTransaction extends ServerTransaction {
-  /** A 100 goes out by itself after this, ms (RFC 3261 section 17.2.1). */
+  /** A 100 is sent automatically after this delay (RFC 3261 section 17.2.1). */
   private static final double TRYING_DELAY_MILLIS = 200;
 
-  /** The states of the figure. */
+  /** States of RFC 3261 figure 7 and RFC 6026. */
   enum State {
     PROCEEDING,
     COMPLETED,
@@ -30,18 +31,21 @@
     tryingTimer = schedule(TRYING_DELAY_MILLIS, this::sendTrying);
   }
 
-  /** Says nothing of itself: the caller may have had its answer before a restart. */
+  /** Suppresses the automatic 100: the caller may have received a response before a restart. */
   void suppressTrying() {
     tryingTimer.cancel();
   }
 
-  /** Its 2xx was sent and acknowledged before a restart: repeats of it are absorbed. */
+  /**
+   * Resumes a transaction whose 2xx was acknowledged before a restart: INVITE retransmissions are
+   * absorbed.
+   */
   void resumeAccepted() {
     state = State.ACCEPTED;
     schedule(timing.transactionTimeout(), this::finish);
   }
 
-  /** Ends without any answer: the caller had one, or has left. */
+  /** Ends without a response: the caller already has one, or has disconnected. */
   void abandon() {
     if (state == State.PROCEEDING) {
       tryingTimer.cancel();
@@ -88,7 +92,7 @@
     return state != State.PROCEEDING;
   }
 
-  /** Runs a task when the INVITE comes again before anything was answered. */
+  /** Sets a task to run when the INVITE is retransmitted before any response was sent. */
   void onRetransmission(Runnable task) {
     onRetransmission = task;
   }
@@ -103,7 +107,7 @@
     }
   }
 
-  /** An ACK with this branch came; whether it was for this transaction. */
+  /** Handles an ACK with this branch; returns whether this transaction absorbs it. */
   boolean receiveAck() {
     if (state == State.COMPLETED) {
       state = State.CONFIRMED;
--- a/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteClientTransaction.java
@@ -3,7 +3,7 @@
 /** The non-INVITE client transaction: RFC 3261 figure 6. */
 public final class NonInviteClientTransaction extends ClientTransaction {
 
-  /** The states of the figure. */
+  /** States of RFC 3261 figure 6. */
   enum State {
     TRYING,
     PROCEEDING,
--- a/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/NonInviteServerTransaction.java
@@ -3,7 +3,7 @@
 /** The non-INVITE server transaction: RFC 3261 figure 8. */
 public final class NonInviteServerTransaction extends ServerTransaction {
 
-  /** The states of the figure. */
+  /** States of RFC 3261 figure 8. */
   enum State {
     TRYING,
     PROCEEDING,
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Bounds a transaction that its user never answers; the client has long given up by then. */
+  /** Ends a transaction that its user never answers; the client has timed out by then. */
   private void expireUnanswered() {
     if (!hasFinalResponse()) {
       finish();
--- a/sip/src/main/java/coveladder/sip/Notifier.java
+++ b/sip/src/main/java/coveladder/sip/Notifier.java
@@ -15,7 +15,12 @@
   private final int maxSubscribers;
   private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
-  /** Makes a notifier of an event package for at most so many subscribers. */
+  /**
+   * Creates a notifier.
+   *
+   * @param event the event package
+   * @param maxSubscribers number of subscriptions beyond which a new one is answered 503
+   */
   public Notifier(UserAgent userAgent, SipHost host, String event, int maxSubscribers) {
     this.userAgent = userAgent;
     this.host = host;
@@ -23,7 +28,7 @@
     this.maxSubscribers = maxSubscribers;
   }
 
-  /** One subscriber. */
+  /** The subscription of one subscriber. */
   public final class Subscription {
     private final Dialog dialog;
     private final String subscriber;
@@ -39,7 +44,7 @@
       return subscriber;
     }
 
-    /** Sends a state. */
+    /** Sends a NOTIFY with the given body. */
     public void notify(String contentType, String body) {
       SipRequest notify = dialog.request("NOTIFY");
       notify.add("Event", event);
@@ -50,7 +55,7 @@
     }
   }
 
-  /** Drops a subscriber that does not know its subscription any more, or cannot be reached. */
+  /** Removes the subscription of a subscriber that no longer knows it, or cannot be reached. */
   private final class NotifyResponseListener implements ClientTransaction.Listener {
     private final String callId;
 
@@ -74,7 +79,7 @@
   /**
    * Answers a SUBSCRIBE.
    *
-   * @return the subscription that is owed the full state now; null where there is none
+   * @return the subscription that must be sent the full state now; null if there is none
    */
   public Subscription subscribe(ServerTransaction transaction, SipRequest request) {
     if (!event.equals(request.header("Event", ""))) {
@@ -122,7 +127,7 @@
     return subscription;
   }
 
-  /** The subscriptions that have not run out. */
+  /** The subscriptions that have not expired. */
   public List<Subscription> active() {
     subscriptions.values().removeIf(subscription -> subscription.expiresAtMillis < host.now());
     return new ArrayList<>(subscriptions.values());
--- a/sip/src/main/java/coveladder/sip/ServerTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ServerTransaction.java
@@ -27,12 +27,12 @@
     return request;
   }
 
-  /** Where the request came from. */
+  /** The hop that the request came from. */
   public Hop source() {
     return source;
   }
 
-  /** Runs a task once the transaction is over. */
+  /** Sets a task to run when the transaction has terminated. */
   void onTermination(Runnable task) {
     onTermination = task;
   }
@@ -43,21 +43,21 @@
     }
   }
 
-  /** Clock of the request's arrival at this machine, ms. */
+  /** Time of the request's arrival at this host, in milliseconds on the host's clock. */
   public double arrivalMillis() {
     return arrivalMillis;
   }
 
   /**
-   * Sends a response. One final response leaves at most; what comes after it is dropped. Without a
-   * tag in To a final one gets a tag of this transaction.
+   * Sends a response. Only one final response is sent; later responses are dropped, except
+   * retransmissions of a 2xx to an INVITE.
    */
   public abstract void respond(SipResponse response);
 
-  /** Whether a final response was given. */
+  /** Whether a final response was sent. */
   public abstract boolean hasFinalResponse();
 
-  /** The same request came again. */
+  /** Handles a retransmission of the request. */
   abstract void requestRetransmitted();
 
   boolean isReliable() {
@@ -80,8 +80,8 @@
   }
 
   /**
-   * The connection that the request came by is gone: the last response goes once to the sent-by
-   * address of the Via instead (RFC 3261 section 18.2.2).
+   * Handles the loss of the connection that the request arrived on: the last response is sent once
+   * more, to the sent-by address of the Via (RFC 3261 section 18.2.2).
    */
   void connectionLost() {
     Via via = request.via();
--- a/sip/src/main/java/coveladder/sip/Subscriber.java
+++ b/sip/src/main/java/coveladder/sip/Subscriber.java
@@ -1,8 +1,8 @@
 package coveladder.sip;
 
 /**
- * The subscriber's side of one subscription (RFC 6665 section 4.1): subscribes, refreshes, takes
- * NOTIFYs, and begins anew with growing pauses when the notifier is lost.
+ * The subscriber's side of one subscription (RFC 6665 section 4.1): subscribes, refreshes, receives
+ * NOTIFYs, and subscribes again with exponential backoff when the subscription is lost.
  */
 public final class Subscriber {
   private static final double INITIAL_RETRY_DELAY_MILLIS = 500;
@@ -24,20 +24,20 @@
   private SipHost.Timer subscribeTimer;
   private boolean stopped;
 
-  /** Who is told of what the notifier says. */
+  /** Receives the notifications of a subscription. */
   public interface Watcher {
-    /** A NOTIFY in order came with this body. */
+    /** A NOTIFY arrived in order. */
     void notified(SipRequest notify);
 
-    /** The subscription could not be had, or broke; it is tried again. */
+    /** The subscription was refused or lost; it will be retried. */
     void lost(String reason);
   }
 
   /**
-   * Makes a subscription that is not yet asked for.
+   * Creates a subscriber; {@link #subscribe} sends the first request.
    *
    * @param event the event package
-   * @param localUri own URI, for From
+   * @param localUri local URI, for the From header field
    * @param target URI of the notifier
    */
   public Subscriber(
@@ -57,7 +57,7 @@
     this.fromHeader = '<' + localUri + '>';
   }
 
-  /** Asks for the subscription, or asks anew: the notifier then sends the full state. */
+  /** Starts a new subscription; the notifier then sends the full state. */
   public void subscribe() {
     stopped = false;
     callId = userAgent.newTag();
@@ -92,7 +92,7 @@
     userAgent.sendOutsideDialog(request, hop, new SubscribeResponseListener(callId));
   }
 
-  /** Hears the answers to one SUBSCRIBE. */
+  /** Handles the responses to one SUBSCRIBE. */
   private final class SubscribeResponseListener implements ClientTransaction.Listener {
     private final String requestCallId;
 
@@ -109,6 +109,7 @@
         toHeader = response.header("To");
         retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
         double grantedSeconds = Math.max(1, response.numericHeader("Expires", EXPIRES_SECONDS));
+        // Refreshes after 80 % of the granted time, converted to milliseconds.
         scheduleSubscribe(grantedSeconds * 800, () -> sendSubscribe(EXPIRES_SECONDS));
       } else {
         retryAfterLoss("answered " + response.status());
@@ -135,7 +136,7 @@
     subscribeTimer = host.schedule(delayMillis, task);
   }
 
-  /** Takes a NOTIFY if it is of this subscription, and answers it; whether it was. */
+  /** Answers a NOTIFY if it belongs to this subscription; returns whether it does. */
   public boolean receiveNotify(ServerTransaction transaction, SipRequest notify) {
     if (callId == null || !callId.equals(notify.callId())) {
       return false;
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -10,11 +10,11 @@
 import java.util.function.Supplier;
 
 /**
- * All transactions of one stack (RFC 3261 section 17), with merged requests (section 8.2.2.2) and
- * repeats of INVITEs whose transaction is long over.
+ * The transactions of one stack (RFC 3261 section 17). It also detects merged requests (section
+ * 8.2.2.2) and late retransmissions of INVITEs whose transaction has terminated.
  */
 public final class TransactionLayer {
-  /** A request larger than this leaves by TCP, octets (RFC 3261 section 18.1.1). */
+  /** A larger request is sent by TCP (RFC 3261 section 18.1.1). */
   private static final int MAX_DATAGRAM_BYTES = 1300;
 
   private final SipHost host;
@@ -34,10 +34,10 @@
   private double messageArrivalMillis;
 
   /**
-   * Makes the layer.
+   * Creates the layer.
    *
-   * @param maxServerTransactions most server transactions at a time, and INVITEs remembered after
-   *     their end; a request beyond that is answered 503 without a transaction
+   * @param maxServerTransactions maximum number of concurrent server transactions, and of
+   *     terminated INVITEs remembered; a request beyond it is answered 503 without a transaction
    */
   public TransactionLayer(
       SipHost host, Timing timing, int maxServerTransactions, TransactionUser user) {
@@ -49,7 +49,7 @@
     this.digestSalt = host.random().nextLong();
   }
 
-  /** The latest keys of ended INVITEs; the oldest goes where there are too many. */
+  /** The most recent keys of terminated INVITEs; the oldest key is evicted beyond the maximum. */
   private static final class RecentKeys extends LinkedHashMap<Long, Boolean> {
     private static final long serialVersionUID = 1L;
     private final int maxKeys;
@@ -64,12 +64,15 @@
     }
   }
 
-  /** Tells servers in each Via that overload control is understood (RFC 7339, RFC 7415). */
+  /** Offers overload control to servers in each Via sent (RFC 7339, RFC 7415). */
   public void offerOverloadControl() {
     overloadControlOffered = true;
   }
 
-  /** Tells clients that offer overload control what this server asks; null figures say nothing. */
+  /**
+   * Sets the overload control values reported to clients that offer it; the supplier returns null
+   * to report none.
+   */
   public void reportOverload(Supplier<OverloadControl> overload) {
     localOverload = overload;
   }
@@ -86,7 +89,7 @@
     return timing;
   }
 
-  /** Transactions under way, clients and servers. */
+  /** Number of client and server transactions in progress. */
   public int size() {
     return clientTransactions.size() + serverTransactions.size();
   }
@@ -94,8 +97,8 @@
   // ---- Client side --------------------------------------------------------------------------
 
   /**
-   * Sends a request under a transaction of its own; a Via is put on top. One too large for a
-   * datagram goes by TCP, and by UDP after all if no connection can be had.
+   * Sends a request in a new transaction, adding a topmost Via. A request too large for a datagram
+   * is sent by TCP, and falls back to UDP if the connection is refused.
    */
   public ClientTransaction send(SipRequest request, Hop hop, ClientTransaction.Listener listener) {
     ClientTransaction transaction = prepare(request, hop, listener);
@@ -103,7 +106,7 @@
     return transaction;
   }
 
-  /** Makes a transaction ready, with its Via, without sending anything yet. */
+  /** Creates a transaction, with its Via, without sending the request yet. */
   ClientTransaction prepare(SipRequest request, Hop hop, ClientTransaction.Listener listener) {
     request.addFirst("Via", via(hop.transport(), nextBranch()).toString());
     ClientTransaction transaction = createClientTransaction(request, hop, listener);
@@ -114,21 +117,21 @@
     return transaction;
   }
 
-  /** Sends the request of a transaction that was made ready. */
+  /** Sends the request of a prepared transaction. */
   void begin(ClientTransaction transaction) {
     register(transaction);
     transaction.start();
   }
 
-  /** Sends a CANCEL, which bears the Via of the INVITE. */
+  /** Sends a CANCEL, which carries the Via of its INVITE. */
   void sendCancel(SipRequest cancel, Hop hop, ClientTransaction.Listener listener) {
     begin(createClientTransaction(cancel, hop, listener));
   }
 
   /**
-   * Calls off, after a restart, an INVITE that may have left with the Via that it bears.
+   * Cancels, after a restart, an INVITE that may have been sent with its present Via.
    *
-   * @param listener hears its end, and a 2xx that crosses
+   * @param listener receives the outcome, and a 2xx that crosses the CANCEL
    */
   void cancelAfterRestart(SipRequest invite, Hop hop, ClientTransaction.Listener listener) {
     InviteClientTransaction transaction = new InviteClientTransaction(this, invite, hop, listener);
@@ -137,7 +140,8 @@
   }
 
   /**
-   * Takes an INVITE, after a restart, that came before it, so that its repeats find a transaction.
+   * Recreates, after a restart, the transaction of an INVITE received before it, so that
+   * retransmissions match a transaction.
    */
   InviteServerTransaction resumeInvite(SipRequest invite, Hop source) {
     InviteServerTransaction transaction =
@@ -148,7 +152,7 @@
     return transaction;
   }
 
-  /** Sends an ACK to a 2xx, which is no transaction. */
+  /** Sends an ACK to a 2xx, which has no transaction. */
   public void sendAck(SipRequest ack, Hop hop) {
     ack.addFirst("Via", via(hop.transport(), nextBranch()).toString());
     host.send(hop, ack.toBytes());
@@ -201,7 +205,7 @@
     transaction.notifyTerminated();
   }
 
-  /** Forgets that a transaction hangs on a connection. */
+  /** Removes a transaction from the index of its connection. */
   void unlink(ClientTransaction transaction) {
     unlink(clientsByConnection, transaction.hop(), transaction);
   }
@@ -213,12 +217,13 @@
     }
   }
 
-  // ---- What comes in ------------------------------------------------------------------------
+  // ---- Received messages --------------------------------------------------------------------
 
   /**
-   * Takes a message that was read whole.
+   * Processes a parsed message.
    *
-   * @param arrivalMillis clock of its arrival at this machine, ms; it may have waited since
+   * @param arrivalMillis time of its arrival at this host, in milliseconds on the host's clock; it
+   *     may have been queued since
    */
   public void receive(Hop source, SipMessage message, double arrivalMillis) {
     messageArrivalMillis = arrivalMillis;
@@ -250,7 +255,7 @@
     return via.host().equals(local.host()) && via.portOrDefault() == local.port();
   }
 
-  /** Guards against answers that bear another call's branch. */
+  /** Rejects responses that carry the branch of another call's transaction. */
   private static boolean matches(SipRequest request, SipResponse response) {
     return request.callId().equals(response.callId())
         && request.cseq().number() == response.cseq().number()
@@ -273,7 +278,7 @@
     }
   }
 
-  /** Writes down where a request came from (RFC 3261 section 18.2.1, RFC 3581 section 4). */
+  /** Records the source of a request in its Via (RFC 3261 section 18.2.1, RFC 3581 section 4). */
   private static void recordSource(Hop source, SipRequest request) {
     Via via = request.via();
     boolean rportRequested = via.params().has("rport");
@@ -327,14 +332,17 @@
         transport.isReliable() ? source : request.via().responseHop(transport), busy.toBytes());
   }
 
-  /** Answers a request that could not be read whole, without a transaction. */
+  /** Answers a request that could not be parsed completely, without a transaction. */
   public void rejectMalformed(Hop source, SipRequest request, int status, String phrase) {
     Transport transport = source.transport();
     Hop responseHop = transport.isReliable() ? source : request.via().responseHop(transport);
     host.send(responseHop, request.response(status, phrase).toBytes());
   }
 
-  /** Key of a server transaction (RFC 3261 section 17.2.3), also without a unique branch. */
+  /**
+   * Key of a server transaction (RFC 3261 section 17.2.3), also for requests without a unique
+   * branch.
+   */
   private static String serverKey(SipRequest request, String method) {
     Via via = request.via();
     if (via.hasRfc3261Branch()) {
@@ -353,7 +361,7 @@
         + method;
   }
 
-  /** A key in eight octets, salted so that nobody can make two alike. */
+  /** Digests a key to 64 bits, salted so that a peer cannot construct collisions. */
   private long digest(String key) {
     long digest = digestSalt;
     for (int i = 0; i < key.length(); i++) {
@@ -383,7 +391,7 @@
 
   // ---- Transport errors ---------------------------------------------------------------------
 
-  /** A connection could not be made, or broke. Each transaction that hangs on it hears of it. */
+  /** Tells each transaction on a connection that it could not be made, or was lost. */
   public void connectionFailed(Hop hop, Failure failure) {
     for (ClientTransaction client : snapshot(clientsByConnection.get(hop))) {
       client.deliveryFailed(failure);
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * User agent core (RFC 3261 section 8): begins and takes calls, finds the leg that a request within
- * a dialog belongs to, and answers what is nobody's.
+ * User agent core (RFC 3261 section 8): places and accepts calls, dispatches requests within a
+ * dialog to their leg, and answers requests that match none.
  */
 public final class UserAgent implements TransactionUser {
   private static final Set<String> SUPPORTED_METHODS =
@@ -23,7 +23,7 @@
           "SUBSCRIBE",
           "NOTIFY");
 
-  /** Methods told in Allow. */
+  /** Value of the Allow header field: all supported methods. */
   public static final String ALLOW =
       String.join(", ", SUPPORTED_METHODS.stream().sorted().toList());
 
@@ -36,20 +36,20 @@
   private final Map<ServerTransaction, CallLeg> pendingLegs = new HashMap<>();
   private long tagCount;
 
-  /** What the owner of a user agent decides. */
+  /** Handles the calls and requests that a user agent receives. */
   public interface Owner {
 
-    /** A new call; the listener hears of it from now on. Null where 503 was answered. */
+    /** A new call arrived. Returns the listener of its events, or null if the call was rejected. */
     CallListener incoming(CallLeg leg);
 
-    /** A new call's leg, right after {@link #incoming} took it. */
+    /** Called with a new call's leg right after {@link #incoming} returned a listener for it. */
     void callAccepted(CallLeg leg);
 
-    /** A request outside all dialogs, or a NOTIFY; an answer is owed. */
+    /** A request outside any dialog, or a NOTIFY, arrived; the owner must answer it. */
     void request(ServerTransaction transaction, SipRequest request);
   }
 
-  /** Makes a user agent with at most so many server transactions. */
+  /** Creates a user agent with at most {@code maxServerTransactions} at a time. */
   public UserAgent(SipHost host, Timing timing, int maxServerTransactions, Owner owner) {
     this.host = host;
     this.timing = timing;
@@ -57,7 +57,7 @@
     this.transactionLayer = new TransactionLayer(host, timing, maxServerTransactions, this);
   }
 
-  /** The transactions. */
+  /** The transaction layer. */
   public TransactionLayer transactionLayer() {
     return transactionLayer;
   }
@@ -70,13 +70,13 @@
     return host.schedule(delayMillis, task);
   }
 
-  /** A tag or Call-ID that no other has. */
+  /** Creates a unique tag or Call-ID. */
   public String newTag() {
     tagCount++;
     return Long.toHexString(host.random().nextLong() >>> 8) + Long.toHexString(tagCount);
   }
 
-  /** Own Contact toward a peer, by the transport that it uses. */
+  /** The local Contact for a peer, with the transport that the peer uses. */
   public String contact(Hop peer) {
     Hop local = host.localHop(peer.transport());
     String transportParameter = peer.transport() == Transport.TCP ? ";transport=tcp" : "";
@@ -84,9 +84,10 @@
   }
 
   /**
-   * Begins a call.
+   * Places a call.
    *
-   * @param invite an INVITE with its Request-URI, From and To; what else a leg needs is added
+   * @param invite an INVITE with its Request-URI, From and To; the other required header fields are
+   *     added
    */
   public CallLeg call(SipRequest invite, Hop hop, CallListener listener) {
     CallLeg leg = prepare(invite, hop, listener);
@@ -94,7 +95,7 @@
     return leg;
   }
 
-  /** Makes a call ready, with all its names, without sending anything yet. */
+  /** Prepares a call, with its tag, Call-ID and branch, without sending the INVITE yet. */
   public CallLeg prepare(SipRequest invite, Hop hop, CallListener listener) {
     invite.set("From", invite.header("From") + ";tag=" + newTag());
     addRequiredHeaders(invite, newTag() + "@" + host.localHop(hop.transport()).host(), hop);
@@ -114,7 +115,7 @@
     }
   }
 
-  /** Sends a request outside all dialogs. */
+  /** Sends a request outside any dialog. */
   public void sendOutsideDialog(
       SipRequest request, Hop hop, ClientTransaction.Listener responseListener) {
     if (request.fromTag() == null) {
@@ -129,21 +130,21 @@
   // ---- After a restart ----------------------------------------------------------------------
 
   /**
-   * Names what makes the legs of a call that stood once a message of it comes: a start with very
-   * many need not read them all.
+   * Registers a task that restores the legs of an established call when a message of that call
+   * arrives. A restart with very many calls thus need not read them all.
    *
-   * @param key a dialog's, or that of the INVITE as it may come again
+   * @param key key of a dialog, or of the initial INVITE as it may be retransmitted
    */
   public void deferRestore(String key, Runnable restore) {
     deferredRestores.put(key, restore);
   }
 
-  /** Expects it no more. */
+  /** Removes the task registered for a key. */
   public void cancelDeferredRestore(String key) {
     deferredRestores.remove(key);
   }
 
-  /** Key of an INVITE outside of a dialog, whichever way it comes again. */
+  /** Key of an initial INVITE, the same for every retransmission regardless of its path. */
   public static String initialInviteKey(String callId, String fromTag) {
     return callId + ' ' + fromTag;
   }
@@ -156,7 +157,7 @@
     return legs.get(key);
   }
 
-  /** Goes on with a call that stood, as its caller, from the INVITE as sent and its 2xx. */
+  /** Resumes an established call as its caller, from the INVITE as sent and its 2xx. */
   public CallLeg resumeCaller(
       SipRequest invite,
       Hop hop,
@@ -169,10 +170,10 @@
   }
 
   /**
-   * Goes on with a call that stood, as its callee.
+   * Resumes an answered call as its callee.
    *
    * @param okResponse the 2xx as sent
-   * @param acknowledged whether its ACK had come
+   * @param acknowledged whether its ACK had arrived
    */
   public CallLeg resumeCallee(
       SipRequest invite,
@@ -190,7 +191,7 @@
     return leg;
   }
 
-  /** Takes up an INVITE that had no final answer, with the tag that its leg had. */
+  /** Resumes an INVITE without final response, with the tag that its leg had. */
   public CallLeg resumePending(
       SipRequest invite, Hop source, String localTag, CallListener listener) {
     InviteServerTransaction server = transactionLayer.resumeInvite(invite, source);
@@ -200,12 +201,14 @@
     return leg;
   }
 
-  /** Calls off an INVITE that may have left, as sent; {@code over} runs once that is over. */
+  /**
+   * Cancels an INVITE, given as sent, that may have left; {@code onDone} runs when it has ended.
+   */
   public void cancelAfterRestart(SipRequest invite, Hop hop, Runnable onDone) {
     transactionLayer.cancelAfterRestart(invite, hop, new CancelledInviteListener(invite, onDone));
   }
 
-  /** Hears of an INVITE that was called off after a restart. */
+  /** Handles the outcome of an INVITE that was cancelled after a restart. */
   private final class CancelledInviteListener implements ClientTransaction.Listener {
     private final SipRequest invite;
     private final Runnable onDone;
@@ -234,7 +237,7 @@
     }
   }
 
-  // ---- For legs -----------------------------------------------------------------------------
+  // ---- Used by call legs --------------------------------------------------------------------
 
   void send(SipRequest request, Hop hop, ClientTransaction.Listener responseListener) {
     if (hop == null) {
@@ -250,7 +253,7 @@
     }
   }
 
-  /** Sends an ACK that may have been sent before, with the Via that it has. */
+  /** Sends an ACK, reusing its Via if it was sent before. */
   void resendAck(SipRequest ack, Hop hop) {
     if (ack.header("Via") == null) {
       sendAck(ack, hop);
@@ -272,9 +275,9 @@
   }
 
   /**
-   * Releases a 2xx that nobody wants any more. The BYE goes first, and the ACK once it is answered:
-   * should this process end in between, the other side repeats its 2xx and so is released after
-   * all. A caller may send BYE from the first answer on (RFC 3261 section 15).
+   * Releases a 2xx that is no longer wanted. The BYE is sent first, and the ACK once the BYE is
+   * answered: if this process ends in between, the remote side retransmits its 2xx, which is then
+   * released. A caller may send BYE on confirmed and early dialogs (RFC 3261 section 15).
    */
   void release(SipRequest invite, SipResponse response, Runnable onDone) {
     Dialog dialog = Dialog.ofCaller(invite, response);
@@ -282,7 +285,10 @@
     send(dialog.request("BYE"), dialog.hop(), new ReleaseByeListener(sendAck, dialog, onDone));
   }
 
-  /** Hears of the BYE that releases a late 2xx; one that wants its ACK first gets another BYE. */
+  /**
+   * Handles the response to the BYE that releases a late 2xx; a remote side that wants the ACK
+   * first gets a second BYE.
+   */
   private final class ReleaseByeListener implements ClientTransaction.Listener {
     private final Runnable sendAck;
     private final Dialog dialog;
@@ -313,7 +319,7 @@
     }
   }
 
-  // ---- From the transactions ----------------------------------------------------------------
+  // ---- Events of the transaction layer ------------------------------------------------------
 
   @Override
   public void request(ServerTransaction transaction, SipRequest request) {
@@ -335,7 +341,7 @@
     return request.is("MESSAGE") || request.is("SUBSCRIBE") || request.is("NOTIFY");
   }
 
-  /** The answer to a request that cannot be served whatever it asks (section 8.2), or null. */
+  /** Returns the error response to a request that fails the checks of section 8.2, or null. */
   private static SipResponse validate(SipRequest request) {
     if (!SUPPORTED_METHODS.contains(request.method())) {
       SipResponse response = request.response(501);
@@ -373,7 +379,8 @@
             ? null
             : deferredRestores.get(initialInviteKey(invite.callId(), invite.fromTag()));
     if (restore != null) {
-      // It stands since a life before: its repeat is no second call, and was answered.
+      // The call was established before the restart; a retransmitted INVITE is not a new call and
+      // was already answered.
       restore.run();
       ((InviteServerTransaction) transaction).abandon();
       return;
@@ -387,7 +394,7 @@
     }
   }
 
-  /** Stands for the listener that the owner names once it saw the leg. */
+  /** Forwards events to the listener that the owner returns after receiving the leg. */
   private static final class ListenerProxy implements CallListener {
     private CallListener listener;
 
--- a/sip/src/test/java/coveladder/sip/FakeNet.java
+++ b/sip/src/test/java/coveladder/sip/FakeNet.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-/** A network of a few stacks in virtual time; a message takes 5 ms, and a filter may lose it. */
+/** A network of a few stacks in virtual time; a message takes 5 ms, and a filter may drop it. */
 final class FakeNet {
   final List<Sent> sent = new ArrayList<>();
   final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -57,14 +57,14 @@
     now = endMillis;
   }
 
-  /** Messages that one box sent and whose text begins so. */
+  /** Messages sent by one endpoint whose text starts with the prefix. */
   List<Sent> sentBy(String endpoint, String prefix) {
     return sent.stream()
         .filter(s -> s.from().equals(endpoint) && s.text().startsWith(prefix))
         .toList();
   }
 
-  /** One element with its stack. */
+  /** A SIP element with its stack. */
   final class Endpoint implements SipHost, UserAgent.Owner {
     final String name;
     final SipStack stack;
@@ -78,7 +78,7 @@
       this.stack = new SipStack(this, Timing.STANDARD, new SipStack.Limits(64, 100), this);
     }
 
-    /** Writes each event down. */
+    /** Records each event as text. */
     class EventRecorder implements CallListener {
       @Override
       public void progress(CallLeg leg, SipResponse response) {
@@ -147,7 +147,7 @@
     @Override
     public void send(Hop to, byte[] message) {
       if (endpoints.get(name) != this) {
-        return; // It was replaced: its machine is no more.
+        return; // A restart replaced this endpoint, so it no longer sends.
       }
       Sent sentMessage = new Sent(name, to, new String(message, StandardCharsets.ISO_8859_1), now);
       sent.add(sentMessage);
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An element that lost its memory and goes on from messages that were kept. */
+/** A restarted element that resumes its calls from stored messages. */
 class ResumeTest {
   private static final Hop TO_A = new Hop(Transport.UDP, "a", 5060);
   private static final Hop TO_B = new Hop(Transport.UDP, "b", 5060);
@@ -16,7 +16,7 @@
   private final FakeNet.Endpoint a = net.endpoint("a");
   private final FakeNet.Endpoint b = net.endpoint("b");
 
-  /** Puts an element without memory in the place of one. */
+  /** Replaces an endpoint by one without state. */
   private FakeNet.Endpoint restart(String name) {
     net.endpoints.remove(name);
     return net.endpoint(name);
@@ -103,7 +103,7 @@
     assertEquals(0, restarted.calls.size());
   }
 
-  /** The INVITE as the callee had it, with where it came from. */
+  /** A request as the callee received it, with its source in the Via. */
   private String requestAsReceived(String prefix) {
     String sent = net.sentBy("a", prefix).get(0).text();
     return sent.replaceFirst(";rport", ";rport=5060;received=a");
--- a/sip/src/test/java/coveladder/sip/TransactionsTest.java
+++ b/sip/src/test/java/coveladder/sip/TransactionsTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Two stacks on a network that loses what the test wants lost. */
+/**
+ * Transactions and dialogs of two stacks on a network that drops the messages each test selects.
+ */
 class TransactionsTest {
   private final FakeNet net = new FakeNet(3);
   private final FakeNet.Endpoint a = net.endpoint("a");
