--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -147,11 +147,11 @@
   private final TreeSet<Integer> badRun = new TreeSet<>();
   private double ownCutAt;
 
-  /** Routes looked for so far: the module's main work. */
-  long routed;
+  /** Number of searches for a route so far: the main work of the policy. */
+  long routesSearched;
 
-  /** Waiting calls looked at so far. */
-  long walked;
+  /** Number of waiting calls examined so far. */
+  long waitingCallsExamined;
 
   private double ownClosedUntil;
 
@@ -348,7 +348,7 @@
 
   /** Decides on a call that has no attempt out: send, wait, refuse. */
   private void route(double now, Held held) {
-    routed++;
+    routesSearched++;
     if (held.call.transit()) {
       routeTransit(now, held);
     } else {
@@ -485,7 +485,7 @@
     double total = size * service + Arrays.stream(rates).sum();
     double[] value = new double[size + 1];
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
-      value = swept(value, rates, service, costs, total);
+      value = valueIterationStep(value, rates, service, costs, total);
     }
     int[] thresholds = new int[rates.length];
     for (int k = 0; k < rates.length; k++) {
@@ -498,7 +498,17 @@
     return thresholds;
   }
 
-  static double[] swept(
+  /**
+   * One step of the value iteration for a circuit group.
+   *
+   * @param value expected future cost for each number of busy circuits
+   * @param rates arrival rate of each class, per ms
+   * @param service rate at which a busy circuit is released, per ms
+   * @param costs cost of blocking a call of each class
+   * @param total rate of all events, per ms
+   * @return the costs one step further from the end
+   */
+  static double[] valueIterationStep(
       double[] value, double[] rates, double service, double[] costs, double total) {
     int size = value.length - 1;
     double[] next = new double[size + 1];
@@ -583,7 +593,7 @@
     Held next;
     for (Held held = line.isEmpty() ? null : line.first(); held != null; held = next) {
       next = line.higher(held);
-      walked++;
+      waitingCallsExamined++;
       boolean takes = ownTakes(now, held);
       if (!takes && !whole) {
         return;
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -218,14 +218,14 @@
     for (int i = 0; i < 50; i++) {
       bed.call("c" + i, Bed.CHEAP, 2);
     }
-    long routed = bed.policy.routed;
+    long routed = bed.policy.routesSearched;
     for (int i = 0; i < 100; i++) {
       bed.circuits(1, 0, 20);
     }
-    assertEquals(routed, bed.policy.routed);
+    assertEquals(routed, bed.policy.routesSearched);
     bed.circuits(2, 1, 20);
     assertEquals(List.of("x2"), bed.asked.sentTo("c0"));
-    assertEquals(routed + 50, bed.policy.routed);
+    assertEquals(routed + 50, bed.policy.routesSearched);
   }
 
   @Test
@@ -720,10 +720,12 @@
     for (int i = 0; i < 400; i++) {
       bed.call("c" + i, Bed.CHEAP, 1 + i % 3);
     }
-    long walked = bed.policy.walked;
+    long walked = bed.policy.waitingCallsExamined;
     for (int i = 0; i < 50; i++) {
       bed.circuits(1, i % 2 == 0 ? 10 : 20, 20);
     }
-    assertTrue(bed.policy.walked - walked <= 2 * 50, "looked at " + (bed.policy.walked - walked));
+    assertTrue(
+        bed.policy.waitingCallsExamined - walked <= 2 * 50,
+        "looked at " + (bed.policy.waitingCallsExamined - walked));
   }
 }
--- a/policy/src/test/java/coveladder/ThresholdsTest.java
+++ b/policy/src/test/java/coveladder/ThresholdsTest.java
@@ -55,7 +55,7 @@
     double mu = 0.6 / 3;
     double[] v = new double[4];
     for (int n = 1; n <= 6; n++) {
-      v = NestedThresholdPolicy.swept(v, l, mu, b, 1);
+      v = NestedThresholdPolicy.valueIterationStep(v, l, mu, b, 1);
       for (int busy = 0; busy <= 3; busy++) {
         assertEquals(value(n, busy, 3, l, mu, b), v[busy], 1e-12);
       }
