--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -23,129 +23,129 @@
   // ---- Tuned values -------------------------------------------------------------------------
 
   /** Time between two computations of the thresholds, ms; DESIGN's value. */
-  private static final double PERIOD = 2000;
+  private static final double RECOMPUTE_INTERVAL_MILLIS = 2000;
 
   /** Window over which arrivals are counted, ms; DESIGN's value. */
-  private static final double WINDOW = 10000;
+  private static final double ARRIVAL_WINDOW_MILLIS = 10000;
 
   /** Beat by which the module sees that it stood still, ms; short beside every aim. */
-  private static final double BEAT = 100;
+  private static final double HEARTBEAT_INTERVAL_MILLIS = 100;
 
   /** Discount of the recursion for each step; DESIGN's value, a horizon of about one hold. */
-  private static final double DISCOUNT = 0.99;
+  private static final double DISCOUNT_FACTOR = 0.99;
 
   /** Sweeps of the recursion; DESIGN says dozens. */
-  private static final int SWEEPS = 60;
+  private static final int VALUE_ITERATIONS = 60;
 
   /** Calls' worth of the exchange-wide mix put beside a group's own count of classes. */
-  private static final double MIX_WEIGHT = 20;
+  private static final double CLASS_MIX_WEIGHT_CALLS = 20;
 
   /** Part of the exchange-wide mix kept at each computation; about a minute's memory. */
-  private static final double MIX_KEEP = 0.97;
+  private static final double CLASS_MIX_RETENTION = 0.97;
 
   /** Circuits that alternative calls always leave free on a leg, for the root of its size. */
-  private static final double RESERVE_BASE = 0.3;
+  private static final double RESERVE_PER_ROOT_OF_SIZE = 0.3;
 
   /** Further reserve as a share of the group, for a share 1 of direct calls blocked. */
-  private static final double RESERVE_SLOPE = 0.5;
+  private static final double RESERVE_SHARE_PER_BLOCKED_SHARE = 0.5;
 
   /** Part of the blocked share kept at each computation; about the window's memory. */
-  private static final double BLOCKED_KEEP = 0.8;
+  private static final double COUNTER_RETENTION = 0.8;
 
   /** Calls taken as rescued beside those counted, so that a quiet group starts open. */
-  private static final double RESCUE_WEIGHT = 2;
+  private static final double PRIOR_SUCCESSFUL_CALLS = 2;
 
   /** Tandems that one call tries; each turned back costs work at two exchanges. */
-  private static final int TANDEM_TRIES = 2;
+  private static final int MAX_TANDEM_ATTEMPTS = 2;
 
   /** Exchanges drawn at most in search of a tandem: the cost must not grow with the fleet. */
-  private static final int TANDEM_DRAWS = 16;
+  private static final int MAX_TANDEM_DRAWS = 16;
 
   /** Fit tandems among which the one with most room is taken. */
-  private static final int TANDEM_FIT = 3;
+  private static final int MAX_SUITABLE_TANDEMS = 3;
 
   /** A tandem that turned back a call to some destination is left out for it so long, ms. */
-  private static final double TURNED_BACK_MS = 1500;
+  private static final double CRANKBACK_PAUSE_MILLIS = 1500;
 
   /** Set-ups out toward one far end at first; low, as the far end may be sick or cold. */
-  private static final double OUT_FIRST = 4;
+  private static final double INITIAL_OUTSTANDING_LIMIT = 4;
 
   /** Set-ups out toward one far end at most; a warm processor answers these within an aim. */
-  private static final double OUT_MOST = 16;
+  private static final double MAX_OUTSTANDING_LIMIT = 16;
 
   /** Answers within this share of the shortest aim show a far end that keeps up. */
-  private static final double SLOW_SHARE = 0.5;
+  private static final double SLOW_ANSWER_SHARE = 0.5;
 
   /** Set-ups out of this controller at most; seldom reached unless answers fail to come. */
-  private static final double OWN_MOST = 16;
+  private static final double MAX_TOTAL_OUTSTANDING_LIMIT = 16;
 
   /** Far ends that answer badly in turn before the own processor is held for the cause. */
-  private static final int OWN_RUN = 6;
+  private static final int LOCAL_OVERLOAD_EXCHANGES = 6;
 
   /** Longest gap between set-ups of a pressed own processor, ms. */
-  private static final double OWN_GAP_MOST = 2000;
+  private static final double MAX_LOCAL_PAUSE_MILLIS = 2000;
 
   /** What a slow answer leaves of the set-ups allowed out. */
-  private static final double SLOW_CUT = 0.7;
+  private static final double LIMIT_REDUCTION_FACTOR = 0.7;
 
   /** Weight of a new answer's time in the delay expected of a far end. */
-  private static final double DELAY_WEIGHT = 0.3;
+  private static final double DELAY_SMOOTHING_WEIGHT = 0.3;
 
   /** Shortest time to its aim with which a set-up is still worth sending, ms. */
-  private static final double LEAST_AIM = 50;
+  private static final double MIN_TIME_TO_AIM_MILLIS = 50;
 
   /** Share of its aim that a call must have left to be the trial call of a far end in doubt. */
-  private static final double TRIAL_SHARE = 0.7;
+  private static final double TRIAL_AIM_SHARE = 0.7;
 
   /** Longest gap between trials of a far end, ms; four intervals between own calls where less. */
-  private static final double GAP_MOST = 8000;
+  private static final double MAX_TRIAL_INTERVAL_MILLIS = 8000;
 
   /** A number with all lines busy is left alone for so long, then tried by one call, ms. */
-  private static final double CROWDED_MS = 1000;
+  private static final double CONGESTED_NUMBER_PAUSE_MILLIS = 1000;
 
   /** Set-ups a second that a warm processor does for each call a second of its own callers. */
-  private static final double WORK_PER_CALL = 2;
+  private static final double SETUPS_PER_LOCAL_CALL = 2;
 
   /** Final answers leave so many clock steps before the caller's time is up. */
-  private static final double FINAL_STEPS = 3;
+  private static final double FINAL_ANSWER_CLOCK_STEPS = 3;
 
   // ---- What is remembered -------------------------------------------------------------------
 
-  private static final long PERIODIC = 0;
-  private static final long HEARTBEAT = 1;
+  private static final long RECOMPUTE_TIMER = 0;
+  private static final long HEARTBEAT_TIMER = 1;
 
   private final Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
-  private final double slow;
-  private final boolean pools;
-  private final double[] mix;
-  private final double[] turnsSent;
-  private final double[] turnsStood;
-  private double mixWorth;
-  private double mixCalls;
-  private double pace;
-  private final double dearest;
-  private final double cheapest;
-  private final Map<String, Exchange> list = new LinkedHashMap<>();
-  private final Map<Integer, Far> fars = new TreeMap<>();
-  private final List<Far> others = new ArrayList<>();
-  private final Map<String, Held> calls = new LinkedHashMap<>();
-  private final TreeSet<Held> line = new TreeSet<>();
-  private final Map<Long, Held> timers = new LinkedHashMap<>();
-  private final Map<String, Double> crowded = new LinkedHashMap<>();
-  private final ArrayDeque<Double> ownArrivals = new ArrayDeque<>();
-  private double ownRate;
-  private double started;
-  private long sequence = HEARTBEAT;
-  private int unanswered;
-  private double ownAllowed = OWN_MOST / 3;
-  private double ownGap;
-  private double seen;
-  private double stall;
-  private final double[] patience;
-  private final TreeSet<Integer> badRun = new TreeSet<>();
-  private double ownCutAt;
+  private final double slowAnswerTime;
+  private final boolean usesPools;
+  private final double[] classMix;
+  private final double[] tandemAttempts;
+  private final double[] tandemAnswers;
+  private double recentWorth;
+  private double recentCalls;
+  private double meanAnswerTime;
+  private final double maxWorth;
+  private final double minWorth;
+  private final Map<String, Exchange> directory = new LinkedHashMap<>();
+  private final Map<Integer, RemoteExchange> remoteExchanges = new TreeMap<>();
+  private final List<RemoteExchange> inServiceExchanges = new ArrayList<>();
+  private final Map<String, TrackedCall> calls = new LinkedHashMap<>();
+  private final TreeSet<TrackedCall> waitQueue = new TreeSet<>();
+  private final Map<Long, TrackedCall> timers = new LinkedHashMap<>();
+  private final Map<String, Double> congestedNumbers = new LinkedHashMap<>();
+  private final ArrayDeque<Double> localArrivals = new ArrayDeque<>();
+  private double localCallRate;
+  private double startedAt;
+  private long sequence = HEARTBEAT_TIMER;
+  private int outstandingAttempts;
+  private double totalOutstandingLimit = MAX_TOTAL_OUTSTANDING_LIMIT / 3;
+  private double localPause;
+  private double lastEventAt;
+  private double stallDuration;
+  private final double[] maxPatience;
+  private final TreeSet<Integer> badlyAnswering = new TreeSet<>();
+  private double totalLimitReducedAt;
 
   /** Number of searches for a route so far: the main work of the policy. */
   long routesSearched;
@@ -153,7 +153,7 @@
   /** Number of waiting calls examined so far. */
   long waitingCallsExamined;
 
-  private double ownClosedUntil;
+  private double localPausedUntil;
 
   /**
    * Makes a module from what the controller is told at start; the seed is of every random choice.
@@ -162,138 +162,154 @@
     this.settings = settings;
     this.actions = actions;
     this.random = new SplittableRandom(seed);
-    this.pools = settings.layout() == Layout.POOLS;
-    this.mix = new double[settings.classes().size()];
-    this.patience = new double[mix.length];
-    this.turnsSent = new double[mix.length];
-    this.turnsStood = new double[mix.length];
-    this.dearest = settings.classes().stream().mapToDouble(CallClass::worth).max().orElse(0);
-    this.cheapest = settings.classes().stream().mapToDouble(CallClass::worth).min().orElse(0);
-    double half =
-        SLOW_SHARE * settings.classes().stream().mapToDouble(CallClass::aim).min().orElse(0);
-    this.slow = settings.retransmitAfter() > 0 ? Math.min(settings.retransmitAfter(), half) : half;
+    this.usesPools = settings.layout() == Layout.POOLS;
+    this.classMix = new double[settings.classes().size()];
+    this.maxPatience = new double[classMix.length];
+    this.tandemAttempts = new double[classMix.length];
+    this.tandemAnswers = new double[classMix.length];
+    this.maxWorth = settings.classes().stream().mapToDouble(CallClass::worth).max().orElse(0);
+    this.minWorth = settings.classes().stream().mapToDouble(CallClass::worth).min().orElse(0);
+    double shareOfShortestAim =
+        SLOW_ANSWER_SHARE * settings.classes().stream().mapToDouble(CallClass::aim).min().orElse(0);
+    this.slowAnswerTime =
+        settings.retransmitAfter() > 0
+            ? Math.min(settings.retransmitAfter(), shareOfShortestAim)
+            : shareOfShortestAim;
   }
 
   // ---- Events -------------------------------------------------------------------------------
 
   @Override
   public void onStart(double now) {
-    started = now;
-    seen = now;
-    actions.startTimer(PERIOD, PERIODIC);
-    actions.startTimer(BEAT, HEARTBEAT);
+    startedAt = now;
+    lastEventAt = now;
+    actions.startTimer(RECOMPUTE_INTERVAL_MILLIS, RECOMPUTE_TIMER);
+    actions.startTimer(HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_TIMER);
     if (settings.directoryOnRequest()) {
       actions.subscribeToDirectory();
     }
   }
 
   @Override
-  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
-    notice(now);
-    if (news.complete()) {
-      list.clear();
+  public void onDirectoryUpdate(double now, DirectoryUpdate update) {
+    updateClock(now);
+    if (update.complete()) {
+      directory.clear();
     }
-    for (Exchange entry : news.entries()) {
+    for (Exchange entry : update.entries()) {
       if (entry.state() == ExchangeState.GONE) {
-        list.remove(entry.id());
+        directory.remove(entry.id());
       } else {
-        list.put(entry.id(), entry);
+        directory.put(entry.id(), entry);
       }
     }
-    fars.values().forEach(far -> far.current = null);
-    for (Exchange entry : list.values()) {
-      Far far = far(entry.number());
-      boolean newer = far.current == null || far.current.startedAt() < entry.startedAt();
+    remoteExchanges.values().forEach(remote -> remote.currentEntry = null);
+    for (Exchange entry : directory.values()) {
+      RemoteExchange remote = remoteExchange(entry.number());
+      boolean newer =
+          remote.currentEntry == null || remote.currentEntry.startedAt() < entry.startedAt();
       if (entry.state() == ExchangeState.IN_SERVICE && newer) {
-        far.current = entry;
-        far.since = entry.startedAt() > far.since ? now : far.since;
-        far.sends.removeIf(sent -> sent < entry.startedAt());
+        remote.currentEntry = entry;
+        remote.startLearnedAt =
+            entry.startedAt() > remote.startLearnedAt ? now : remote.startLearnedAt;
+        remote.sendTimes.removeIf(sentAt -> sentAt < entry.startedAt());
       }
     }
-    others.clear();
-    fars.values().stream().filter(far -> far.current != null).forEach(others::add);
-    serveLine(now, true);
+    inServiceExchanges.clear();
+    remoteExchanges.values().stream()
+        .filter(remote -> remote.currentEntry != null)
+        .forEach(inServiceExchanges::add);
+    serveWaitQueue(now, true);
   }
 
   @Override
   public void onCall(double now, Call call) {
-    notice(now);
+    updateClock(now);
     if (call.type() < 0 || call.type() >= settings.classes().size()) {
       actions.refuse(call.id(), 0);
       return;
     }
-    Held held = new Held(call, settings.classes().get(call.type()), sequence++);
-    calls.put(call.id(), held);
-    held.finalBy = now + Math.max(0, call.patience() - FINAL_STEPS * settings.clockResolution());
-    held.aimBy = Math.min(held.finalBy, now + aimLeft(held));
-    wake(held, held.finalBy - now);
-    count(now, call);
-    if (isCrowded(now, call.number())) {
-      refuse(held);
+    TrackedCall tracked = new TrackedCall(call, settings.classes().get(call.type()), sequence++);
+    calls.put(call.id(), tracked);
+    tracked.answerDeadline =
+        now + Math.max(0, call.patience() - FINAL_ANSWER_CLOCK_STEPS * settings.clockResolution());
+    tracked.aimDeadline = Math.min(tracked.answerDeadline, now + timeToAim(tracked));
+    startCallTimer(tracked, tracked.answerDeadline - now);
+    recordArrival(now, call);
+    if (isCongested(now, call.number())) {
+      refuse(tracked);
     } else {
-      route(now, held);
+      route(now, tracked);
     }
   }
 
   @Override
-  public void onEstablished(double now, Established stands) {
-    notice(now);
-    Held held = calls.get(stands.call());
-    if (held != null && held.out != null && held.out.number == stands.attempt()) {
-      held.standing = true;
-      held.out.destination.carriers.add(held.out.first);
-      turnsStood[held.call.type()] += held.out.ends.size() - 1;
-      if (held.overflowed) {
-        far(held.call.destination()).carried++;
+  public void onEstablished(double now, Established established) {
+    updateClock(now);
+    TrackedCall call = calls.get(established.call());
+    if (call != null
+        && call.currentAttempt != null
+        && call.currentAttempt.number == established.attempt()) {
+      call.established = true;
+      call.currentAttempt.destination.workingTandems.add(call.currentAttempt.firstHop);
+      tandemAnswers[call.request.type()] += call.currentAttempt.exchanges.size() - 1;
+      if (call.overflowed) {
+        remoteExchange(call.request.destination()).carriedOverflowCalls++;
       }
-      answered(now, held.out, Math.max(0, stands.elapsed() - stall), held.out.ends);
-      serveLine(now, false);
+      recordAnswer(
+          now,
+          call.currentAttempt,
+          Math.max(0, established.elapsed() - stallDuration),
+          call.currentAttempt.exchanges);
+      serveWaitQueue(now, false);
     }
   }
 
   @Override
   public void onAttemptEnded(double now, AttemptEnded ended) {
-    notice(now);
-    learnCircuits(ended.exchange(), ended.load());
-    Held held = calls.get(ended.call());
-    if (held != null && held.out != null && held.out.number == ended.attempt()) {
-      attemptEnded(now, held, ended);
-    }
-    serveLine(now, false);
+    updateClock(now);
+    updateCircuits(ended.exchange(), ended.load());
+    TrackedCall call = calls.get(ended.call());
+    if (call != null
+        && call.currentAttempt != null
+        && call.currentAttempt.number == ended.attempt()) {
+      handleAttemptEnd(now, call, ended);
+    }
+    serveWaitQueue(now, false);
   }
 
   @Override
   public void onCallerAbandoned(double now, String call) {
-    Held held = calls.get(call);
-    if (held != null) {
-      finish(held);
+    TrackedCall tracked = calls.get(call);
+    if (tracked != null) {
+      finish(tracked);
     }
   }
 
   @Override
   public void onLoadReport(double now, LoadReport report) {
-    notice(now);
-    if (learnCircuits(report.exchange(), report.load())) {
-      serveLine(now, false);
+    updateClock(now);
+    if (updateCircuits(report.exchange(), report.load())) {
+      serveWaitQueue(now, false);
     }
   }
 
   @Override
   public void onTimer(double now, long label) {
-    notice(now);
-    if (label == HEARTBEAT) {
-      actions.startTimer(BEAT, HEARTBEAT);
-    } else if (label == PERIODIC) {
-      recompute(now);
-      actions.startTimer(PERIOD, PERIODIC);
+    updateClock(now);
+    if (label == HEARTBEAT_TIMER) {
+      actions.startTimer(HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_TIMER);
+    } else if (label == RECOMPUTE_TIMER) {
+      recomputeEstimates(now);
+      actions.startTimer(RECOMPUTE_INTERVAL_MILLIS, RECOMPUTE_TIMER);
     }
-    Held held = timers.remove(label);
-    boolean waits = held != null && !held.finished && !held.standing;
-    if (waits) {
-      callTimer(now, held);
+    TrackedCall call = timers.remove(label);
+    boolean pending = call != null && !call.finished && !call.established;
+    if (pending) {
+      onCallTimer(now, call);
     }
-    if (waits || label == HEARTBEAT) {
-      serveLine(now, label == HEARTBEAT);
+    if (pending || label == HEARTBEAT_TIMER) {
+      serveWaitQueue(now, label == HEARTBEAT_TIMER);
     }
   }
 
@@ -307,74 +323,79 @@
    * against answers that lay unread, and the line against calls whose aim went by unseen, whatever
    * held the controller up. Could harm by taking a slow answer of that moment for a quick one.
    */
-  private void notice(double now) {
-    if (now > seen) {
-      stall = now - seen > 2 * BEAT ? now - seen : 0;
-      seen = now;
+  private void updateClock(double now) {
+    if (now > lastEventAt) {
+      stallDuration = now - lastEventAt > 2 * HEARTBEAT_INTERVAL_MILLIS ? now - lastEventAt : 0;
+      lastEventAt = now;
     }
   }
 
   /** Time to the aim of a new call. One that came too late for it is placed with the redials. */
-  private double aimLeft(Held held) {
-    double aim = held.kind.aim();
-    int type = held.call.type();
-    if (held.late || held.call.transit() || held.call.returned()) {
+  private double timeToAim(TrackedCall call) {
+    double aim = call.callClass.aim();
+    int type = call.request.type();
+    if (call.late || call.request.transit() || call.request.returned()) {
       return aim;
     }
-    patience[type] = Math.max(patience[type], held.call.patience());
-    double left = aim - Math.min(stall, patience[type] - held.call.patience());
-    held.late = left < Math.max(LEAST_AIM, far(held.call.destination()).delay);
-    return held.late ? aim : left;
+    maxPatience[type] = Math.max(maxPatience[type], call.request.patience());
+    double timeLeft = aim - Math.min(stallDuration, maxPatience[type] - call.request.patience());
+    call.late =
+        timeLeft
+            < Math.max(
+                MIN_TIME_TO_AIM_MILLIS, remoteExchange(call.request.destination()).answerDelay);
+    return call.late ? aim : timeLeft;
   }
 
-  private void callTimer(double now, Held held) {
-    if (now >= held.finalBy) {
-      if (held.out != null && settings.mayCancel()) {
-        actions.cancel(held.call.id(), held.out.number);
+  private void onCallTimer(double now, TrackedCall call) {
+    if (now >= call.answerDeadline) {
+      if (call.currentAttempt != null && settings.mayCancel()) {
+        actions.cancel(call.request.id(), call.currentAttempt.number);
       }
-      fail(held);
-    } else if (held.out == null && line.contains(held) && now >= held.aimBy - LEAST_AIM) {
-      refuse(held);
+      fail(call);
+    } else if (call.currentAttempt == null
+        && waitQueue.contains(call)
+        && now >= call.aimDeadline - MIN_TIME_TO_AIM_MILLIS) {
+      refuse(call);
     }
   }
 
-  private void wake(Held held, double delay) {
+  private void startCallTimer(TrackedCall call, double delay) {
     long label = ++sequence;
-    timers.put(label, held);
+    timers.put(label, call);
     actions.startTimer(Math.max(0, delay), label);
   }
 
   // ---- Ordinary path ------------------------------------------------------------------------
 
   /** Decides on a call that has no attempt out: send, wait, refuse. */
-  private void route(double now, Held held) {
+  private void route(double now, TrackedCall call) {
     routesSearched++;
-    if (held.call.transit()) {
-      routeTransit(now, held);
+    if (call.request.transit()) {
+      routeTransit(now, call);
     } else {
-      routeDirect(now, held);
+      routeDirect(now, call);
     }
   }
 
-  private void routeDirect(double now, Held held) {
-    Far far = far(held.call.destination());
-    if (!far.hasGroup()) {
-      routeAlternative(now, held);
-    } else if (far.admits(held)) {
-      far.offered(held, false);
-      if (maySend(now, held, far, far)) {
-        send(now, held, far, far);
+  private void routeDirect(double now, TrackedCall call) {
+    RemoteExchange destination = remoteExchange(call.request.destination());
+    if (!destination.hasCircuitGroup()) {
+      routeAlternative(now, call);
+    } else if (destination.admits(call)) {
+      destination.recordOffered(call, false);
+      if (maySend(now, call, destination, destination)) {
+        send(now, call, destination, destination);
       } else {
-        await(now, held);
+        waitOrRefuse(now, call);
       }
     } else {
-      far.offered(held, true);
-      if (far.threshold(held) >= far.size) {
-        far.overflowed += held.overflowed ? 0 : 1;
-        held.overflowed = true;
-        routeAlternative(now, held);
+      destination.recordOffered(call, true);
+      if (destination.threshold(call) >= destination.groupSize) {
+        destination.overflowedCalls += call.overflowed ? 0 : 1;
+        call.overflowed = true;
+        routeAlternative(now, call);
       } else {
-        refuse(held);
+        refuse(call);
       }
     }
   }
@@ -383,31 +404,39 @@
    * Of the fit tandems (or pools of second choice) that lately carried a call there the one with
    * most room; where there is none, the same of the first fit ones drawn at random.
    */
-  private void routeAlternative(double now, Held held) {
-    Far destination = far(held.call.destination());
-    Far best = null;
-    int type = held.call.type();
-    double stood = (turnsStood[type] + RESCUE_WEIGHT) / (turnsSent[type] + RESCUE_WEIGHT);
-    if (held.tandems < TANDEM_TRIES && pays(held, stood)) {
-      for (Far far : destination.carriers) {
-        best = isFit(now, held, far, destination) ? roomier(best, far) : best;
+  private void routeAlternative(double now, TrackedCall call) {
+    RemoteExchange destination = remoteExchange(call.request.destination());
+    RemoteExchange best = null;
+    int type = call.request.type();
+    double successShare =
+        (tandemAnswers[type] + PRIOR_SUCCESSFUL_CALLS)
+            / (tandemAttempts[type] + PRIOR_SUCCESSFUL_CALLS);
+    if (call.tandemsTried < MAX_TANDEM_ATTEMPTS && isWorthSetup(call, successShare)) {
+      for (RemoteExchange tandem : destination.workingTandems) {
+        best =
+            isSuitableTandem(now, call, tandem, destination)
+                ? withMoreFreeCircuits(best, tandem)
+                : best;
       }
-      int fit = best == null ? 0 : TANDEM_FIT;
-      for (int i = 0; i < Math.min(TANDEM_DRAWS, others.size()) && fit < TANDEM_FIT; i++) {
-        Collections.swap(others, i, i + random.nextInt(others.size() - i));
-        if (isFit(now, held, others.get(i), destination)) {
-          fit++;
-          best = roomier(best, others.get(i));
+      int suitable = best == null ? 0 : MAX_SUITABLE_TANDEMS;
+      for (int i = 0;
+          i < Math.min(MAX_TANDEM_DRAWS, inServiceExchanges.size())
+              && suitable < MAX_SUITABLE_TANDEMS;
+          i++) {
+        Collections.swap(inServiceExchanges, i, i + random.nextInt(inServiceExchanges.size() - i));
+        if (isSuitableTandem(now, call, inServiceExchanges.get(i), destination)) {
+          suitable++;
+          best = withMoreFreeCircuits(best, inServiceExchanges.get(i));
         }
       }
     }
     if (best == null) {
-      await(now, held);
+      waitOrRefuse(now, call);
       return;
     }
-    held.tandems++;
-    turnsSent[type]++;
-    send(now, held, best, destination);
+    call.tandemsTried++;
+    tandemAttempts[type]++;
+    send(now, call, best, destination);
   }
 
   /**
@@ -416,64 +445,71 @@
    * Guards against crankbacks and jams, whatever fills groups or slows processors: idle ones make a
    * set-up nearly free. Could harm when these have just come free, until the counts fade.
    */
-  private boolean pays(Held held, double chance) {
-    return chance * held.value() * mixCalls >= mixWorth * pace / slow;
+  private boolean isWorthSetup(TrackedCall call, double chance) {
+    return chance * call.value() * recentCalls >= recentWorth * meanAnswerTime / slowAnswerTime;
   }
 
-  private static Far roomier(Far one, Far other) {
-    return one == null || other.free > one.free ? other : one;
+  private static RemoteExchange withMoreFreeCircuits(RemoteExchange one, RemoteExchange other) {
+    return one == null || other.freeCircuits > one.freeCircuits ? other : one;
   }
 
-  private boolean isFit(double now, Held held, Far far, Far destination) {
-    return (!pools || held.kind.pools().isEmpty() || held.kind.pools().contains(far.number))
-        && far != destination
-        && far.hasGroup()
-        && far.spares(held)
-        && far.allowed >= 2
-        && far.delay + destination.delay < slow
-        && (far.out.isEmpty() || now - far.out.iterator().next().sent < slow)
-        && far.turnedBack.getOrDefault(destination.number, 0.0) <= now
-        && maySend(now, held, far, pools ? far : destination);
+  private boolean isSuitableTandem(
+      double now, TrackedCall call, RemoteExchange tandem, RemoteExchange destination) {
+    return (!usesPools
+            || call.callClass.pools().isEmpty()
+            || call.callClass.pools().contains(tandem.number))
+        && tandem != destination
+        && tandem.hasCircuitGroup()
+        && tandem.leavesReserve(call)
+        && tandem.outstandingLimit >= 2
+        && tandem.answerDelay + destination.answerDelay < slowAnswerTime
+        && (tandem.outstanding.isEmpty()
+            || now - tandem.outstanding.iterator().next().sentAt < slowAnswerTime)
+        && tandem.crankbackUntil.getOrDefault(destination.number, 0.0) <= now
+        && maySend(now, call, tandem, usesPools ? tandem : destination);
   }
 
   /** A call in transit goes on to its destination at once or is turned back. */
-  private void routeTransit(double now, Held held) {
-    Far far = far(held.call.destination());
-    if (far.hasGroup() && far.spares(held) && maySend(now, held, far, far)) {
-      send(now, held, far, far);
+  private void routeTransit(double now, TrackedCall call) {
+    RemoteExchange destination = remoteExchange(call.request.destination());
+    if (destination.hasCircuitGroup()
+        && destination.leavesReserve(call)
+        && maySend(now, call, destination, destination)) {
+      send(now, call, destination, destination);
     } else {
-      refuse(held);
+      refuse(call);
     }
   }
 
   // ---- Thresholds ---------------------------------------------------------------------------
 
-  private void count(double now, Call call) {
+  private void recordArrival(double now, Call call) {
     if (call.transit()) {
       return;
     }
-    ownArrivals.add(now);
-    if (!call.redial() && !call.returned() && !crowded.containsKey(call.number())) {
-      far(call.destination()).arrivals.add(new double[] {now, call.type()});
-      mix[call.type()]++;
-      mixCalls++;
-      mixWorth += settings.classes().get(call.type()).worth();
+    localArrivals.add(now);
+    if (!call.redial() && !call.returned() && !congestedNumbers.containsKey(call.number())) {
+      remoteExchange(call.destination()).arrivals.add(new double[] {now, call.type()});
+      classMix[call.type()]++;
+      recentCalls++;
+      recentWorth += settings.classes().get(call.type()).worth();
     }
   }
 
-  private void recompute(double now) {
-    ownArrivals.removeIf(at -> at < now - WINDOW);
-    double span = Math.min(WINDOW, Math.max(PERIOD, now - started));
-    ownRate = ownArrivals.size() / span;
-    fars.values().forEach(far -> far.recompute(now, span));
-    mixWorth *= MIX_KEEP;
-    mixCalls *= MIX_KEEP;
-    for (int k = 0; k < mix.length; k++) {
-      mix[k] *= MIX_KEEP;
-      turnsSent[k] *= BLOCKED_KEEP;
-      turnsStood[k] *= BLOCKED_KEEP;
-    }
-    crowded.values().removeIf(until -> now > until + WINDOW);
+  private void recomputeEstimates(double now) {
+    localArrivals.removeIf(arrivedAt -> arrivedAt < now - ARRIVAL_WINDOW_MILLIS);
+    double span =
+        Math.min(ARRIVAL_WINDOW_MILLIS, Math.max(RECOMPUTE_INTERVAL_MILLIS, now - startedAt));
+    localCallRate = localArrivals.size() / span;
+    remoteExchanges.values().forEach(remote -> remote.recomputeThresholds(now, span));
+    recentWorth *= CLASS_MIX_RETENTION;
+    recentCalls *= CLASS_MIX_RETENTION;
+    for (int classIndex = 0; classIndex < classMix.length; classIndex++) {
+      classMix[classIndex] *= CLASS_MIX_RETENTION;
+      tandemAttempts[classIndex] *= COUNTER_RETENTION;
+      tandemAnswers[classIndex] *= COUNTER_RETENTION;
+    }
+    congestedNumbers.values().removeIf(until -> now > until + ARRIVAL_WINDOW_MILLIS);
   }
 
   /**
@@ -481,19 +517,21 @@
    * ms, hold in ms. For each class the first occupancy at which blocking is cheaper, or the size.
    */
   static int[] thresholds(int size, double[] rates, double hold, double[] costs) {
-    double service = 1 / hold;
-    double total = size * service + Arrays.stream(rates).sum();
-    double[] value = new double[size + 1];
-    for (int sweep = 0; sweep < SWEEPS; sweep++) {
-      value = valueIterationStep(value, rates, service, costs, total);
+    double serviceRate = 1 / hold;
+    double totalRate = size * serviceRate + Arrays.stream(rates).sum();
+    double[] values = new double[size + 1];
+    for (int iteration = 0; iteration < VALUE_ITERATIONS; iteration++) {
+      values = valueIterationStep(values, rates, serviceRate, costs, totalRate);
     }
     int[] thresholds = new int[rates.length];
-    for (int k = 0; k < rates.length; k++) {
+    for (int classIndex = 0; classIndex < rates.length; classIndex++) {
       int busy = 0;
-      while (busy < size && DISCOUNT * value[busy + 1] <= costs[k] + DISCOUNT * value[busy]) {
+      while (busy < size
+          && DISCOUNT_FACTOR * values[busy + 1]
+              <= costs[classIndex] + DISCOUNT_FACTOR * values[busy]) {
         busy++;
       }
-      thresholds[k] = busy;
+      thresholds[classIndex] = busy;
     }
     return thresholds;
   }
@@ -501,28 +539,29 @@
   /**
    * One step of the value iteration for a circuit group.
    *
-   * @param value expected future cost for each number of busy circuits
+   * @param values expected future cost for each number of busy circuits
    * @param rates arrival rate of each class, per ms
-   * @param service rate at which a busy circuit is released, per ms
+   * @param serviceRate rate at which a busy circuit is released, per ms
    * @param costs cost of blocking a call of each class
-   * @param total rate of all events, per ms
+   * @param totalRate rate of all events, per ms
    * @return the costs one step further from the end
    */
   static double[] valueIterationStep(
-      double[] value, double[] rates, double service, double[] costs, double total) {
-    int size = value.length - 1;
-    double[] next = new double[size + 1];
+      double[] values, double[] rates, double serviceRate, double[] costs, double totalRate) {
+    int size = values.length - 1;
+    double[] nextValues = new double[size + 1];
     for (int busy = 0; busy <= size; busy++) {
-      double below = value[Math.max(0, busy - 1)];
-      double sum = service * (busy * below + (size - busy) * value[busy]) * DISCOUNT;
-      for (int k = 0; k < rates.length; k++) {
-        double block = costs[k] + DISCOUNT * value[busy];
-        double enter = busy < size ? DISCOUNT * value[busy + 1] : Double.MAX_VALUE;
-        sum += rates[k] * Math.min(block, enter);
+      double valueBelow = values[Math.max(0, busy - 1)];
+      double sum =
+          serviceRate * (busy * valueBelow + (size - busy) * values[busy]) * DISCOUNT_FACTOR;
+      for (int classIndex = 0; classIndex < rates.length; classIndex++) {
+        double blockingCost = costs[classIndex] + DISCOUNT_FACTOR * values[busy];
+        double admissionCost = busy < size ? DISCOUNT_FACTOR * values[busy + 1] : Double.MAX_VALUE;
+        sum += rates[classIndex] * Math.min(blockingCost, admissionCost);
       }
-      next[busy] = sum / total;
+      nextValues[busy] = sum / totalRate;
     }
-    return next;
+    return nextValues;
   }
 
   // ---- The gate before every send -----------------------------------------------------------
@@ -531,39 +570,41 @@
    * The one owner of "may this call be sent there now": one attempt out, release guard, attempts
    * left, state of the exchange on the list, time left, set-ups out, budget of a cold processor.
    */
-  private boolean maySend(double now, Held held, Far first, Far destination) {
-    return held.out == null
-        && !held.finished
-        && now >= held.guardUntil
-        && ownTakes(now, held)
-        && held.attempts < settings.maxAttempts()
-        && held.repeats(now, first)
-        && first.number != settings.localExchange()
-        && first.current != null
-        && destination.current != null
-        && first.takes(now, held)
-        && destination.takes(now, held)
-        && first.withinColdBudget(now);
+  private boolean maySend(
+      double now, TrackedCall call, RemoteExchange firstHop, RemoteExchange destination) {
+    return call.currentAttempt == null
+        && !call.finished
+        && now >= call.guardUntil
+        && localProcessorAccepts(now, call)
+        && call.attemptsSent < settings.maxAttempts()
+        && call.mayRepeatAt(now, firstHop)
+        && firstHop.number != settings.localExchange()
+        && firstHop.currentEntry != null
+        && destination.currentEntry != null
+        && firstHop.accepts(now, call)
+        && destination.accepts(now, call)
+        && firstHop.withinColdStartBudget(now);
   }
 
   /**
    * A call that does not pay goes only while nothing else is out; those in transit are half done.
    */
-  private boolean ownTakes(double now, Held held) {
-    int most = held.call.transit() || pays(held, 1) ? (int) ownAllowed : 1;
-    return now >= ownClosedUntil && unanswered < most;
+  private boolean localProcessorAccepts(double now, TrackedCall call) {
+    int limit = call.request.transit() || isWorthSetup(call, 1) ? (int) totalOutstandingLimit : 1;
+    return now >= localPausedUntil && outstandingAttempts < limit;
   }
 
-  private void send(double now, Held held, Far first, Far destination) {
-    line.remove(held);
-    unanswered++;
-    held.out = new Attempt(held.attempts++, now, first, destination, held);
-    first.free -= held.call.width();
-    first.sends.add(now);
-    if (first == destination && !held.call.transit()) {
-      first.ownBusy += held.call.width();
-    }
-    actions.send(held.call.id(), first.current.id(), held.aimBy - now);
+  private void send(
+      double now, TrackedCall call, RemoteExchange firstHop, RemoteExchange destination) {
+    waitQueue.remove(call);
+    outstandingAttempts++;
+    call.currentAttempt = new Attempt(call.attemptsSent++, now, firstHop, destination, call);
+    firstHop.freeCircuits -= call.request.width();
+    firstHop.sendTimes.add(now);
+    if (firstHop == destination && !call.request.transit()) {
+      firstHop.localBusyCircuits += call.request.width();
+    }
+    actions.send(call.request.id(), firstHop.currentEntry.id(), call.aimDeadline - now);
   }
 
   // ---- The waiting line ---------------------------------------------------------------------
@@ -572,13 +613,13 @@
    * Holds a call that the thresholds do not refuse until circuits or set-ups come free, no longer
    * than its aim allows. Answers every shortage that passes within a second or so. Dearest first.
    */
-  private void await(double now, Held held) {
-    if (held.call.transit() || isLost(now, held)) {
-      refuse(held);
-    } else if (line.add(held)) {
-      wake(held, held.aimBy - LEAST_AIM - now);
-      if (held.guardUntil > now) {
-        wake(held, held.guardUntil - now);
+  private void waitOrRefuse(double now, TrackedCall call) {
+    if (call.request.transit() || isUnroutable(now, call)) {
+      refuse(call);
+    } else if (waitQueue.add(call)) {
+      startCallTimer(call, call.aimDeadline - MIN_TIME_TO_AIM_MILLIS - now);
+      if (call.guardUntil > now) {
+        startCallTimer(call, call.guardUntil - now);
       }
     }
   }
@@ -589,19 +630,21 @@
    * lost. Guards against work that grows with the line at every event, whatever filled the line.
    * Could keep a lost call waiting for one beat.
    */
-  private void serveLine(double now, boolean whole) {
-    Held next;
-    for (Held held = line.isEmpty() ? null : line.first(); held != null; held = next) {
-      next = line.higher(held);
+  private void serveWaitQueue(double now, boolean wholeQueue) {
+    TrackedCall nextCall;
+    for (TrackedCall call = waitQueue.isEmpty() ? null : waitQueue.first();
+        call != null;
+        call = nextCall) {
+      nextCall = waitQueue.higher(call);
       waitingCallsExamined++;
-      boolean takes = ownTakes(now, held);
-      if (!takes && !whole) {
+      boolean accepts = localProcessorAccepts(now, call);
+      if (!accepts && !wholeQueue) {
         return;
       }
-      if (isLost(now, held)) {
-        refuse(held);
-      } else if (takes) {
-        route(now, held);
+      if (isUnroutable(now, call)) {
+        refuse(call);
+      } else if (accepts) {
+        route(now, call);
       }
     }
   }
@@ -612,58 +655,67 @@
    * calls held for nothing, whatever closed their ways. Could harm where a way opens sooner than
    * told: the list names a new exchange, or a pause drawn too long.
    */
-  private boolean isLost(double now, Held held) {
-    Far far = far(held.call.destination());
-    boolean direct = far.hasGroup() && !(far.size < held.call.width());
-    double needed = pools || !far.out.isEmpty() ? 0 : far.trial(held);
-    return held.aimBy - Math.max(now, opens(held)) <= Math.max(LEAST_AIM, needed)
-        || held.attempts >= settings.maxAttempts()
-        || !held.repeats(now, null)
-        || !pools && far.current == null
-        || !direct && held.tandems >= TANDEM_TRIES;
+  private boolean isUnroutable(double now, TrackedCall call) {
+    RemoteExchange destination = remoteExchange(call.request.destination());
+    boolean hasDirectGroup =
+        destination.hasCircuitGroup() && !(destination.groupSize < call.request.width());
+    double neededTime =
+        usesPools || !destination.outstanding.isEmpty() ? 0 : destination.minTimeForTrial(call);
+    return call.aimDeadline - Math.max(now, pausedUntil(call))
+            <= Math.max(MIN_TIME_TO_AIM_MILLIS, neededTime)
+        || call.attemptsSent >= settings.maxAttempts()
+        || !call.mayRepeatAt(now, null)
+        || !usesPools && destination.currentEntry == null
+        || !hasDirectGroup && call.tandemsTried >= MAX_TANDEM_ATTEMPTS;
   }
 
   /** When the pauses that stand in the call's way are over. */
-  private double opens(Held held) {
-    double far = pools ? 0 : far(held.call.destination()).closedUntil;
-    return Math.max(far, Math.max(held.guardUntil, ownClosedUntil));
+  private double pausedUntil(TrackedCall call) {
+    double exchangePausedUntil =
+        usesPools ? 0 : remoteExchange(call.request.destination()).pausedUntil;
+    return Math.max(exchangePausedUntil, Math.max(call.guardUntil, localPausedUntil));
   }
 
   // ---- Answers of attempts ------------------------------------------------------------------
 
-  private void attemptEnded(double now, Held held, AttemptEnded ended) {
-    Attempt attempt = held.out;
-    held.out = null;
-    if (!held.standing) {
-      judge(now, attempt, ended);
-    }
-    held.standing = false;
-    unanswered -= attempt.answered ? 0 : 1;
-    attempt.over();
-    if (ended.callFinished() || held.finished) {
-      held.finished = true;
-      calls.remove(held.call.id());
+  private void handleAttemptEnd(double now, TrackedCall call, AttemptEnded ended) {
+    Attempt attempt = call.currentAttempt;
+    call.currentAttempt = null;
+    if (!call.established) {
+      assessOutcome(now, attempt, ended);
+    }
+    call.established = false;
+    outstandingAttempts -= attempt.answered ? 0 : 1;
+    attempt.close();
+    if (ended.callFinished() || call.finished) {
+      call.finished = true;
+      calls.remove(call.request.id());
       return;
     }
-    Outcome how = ended.outcome();
-    boolean unsure = how == Outcome.TIMED_OUT || how == Outcome.RESET || how == Outcome.CANCELLED;
-    held.guardUntil = unsure ? now + settings.guardTime() : held.guardUntil;
-    held.ran = held.ran == null && (unsure || how == Outcome.ERROR) ? attempt : held.ran;
-    next(now, held, ended);
+    Outcome outcome = ended.outcome();
+    boolean uncertain =
+        outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED;
+    call.guardUntil = uncertain ? now + settings.guardTime() : call.guardUntil;
+    call.uncertainAttempt =
+        call.uncertainAttempt == null && (uncertain || outcome == Outcome.ERROR)
+            ? attempt
+            : call.uncertainAttempt;
+    retryOrAnswer(now, call, ended);
   }
 
   /**
    * An answer in time or not: frees its place and tells of the own processor and of the far ends
    * that gave it. What a tandem turned back its destination never saw.
    */
-  private void answered(double now, Attempt attempt, double spent, List<Far> ends) {
+  private void recordAnswer(
+      double now, Attempt attempt, double elapsed, List<RemoteExchange> answeredBy) {
     if (attempt.answered) {
       return;
     }
-    unanswered--;
-    pace += DELAY_WEIGHT * (spent - pace);
-    learnOwn(now, spent, attempt.first, spent <= slow);
-    attempt.answered(now, spent, ends);
+    outstandingAttempts--;
+    meanAnswerTime += DELAY_SMOOTHING_WEIGHT * (elapsed - meanAnswerTime);
+    updateTotalLimit(now, elapsed, attempt.firstHop, elapsed <= slowAnswerTime);
+    attempt.recordAnswer(now, elapsed, answeredBy);
   }
 
   /**
@@ -672,82 +724,90 @@
    * few are left they are spread in time. Guards whatever slows the own processor. Could harm when
    * most far ends really are in trouble at once: then calls to the sound ones wait too.
    */
-  private boolean learnOwn(double now, double spent, Far far, boolean good) {
-    if (good) {
-      badRun.clear();
-      ownGap = ownGap > slow ? ownGap / 2 : 0;
-      ownAllowed = Math.min(OWN_MOST, ownAllowed + 1 / ownAllowed);
+  private boolean updateTotalLimit(
+      double now, double elapsed, RemoteExchange remote, boolean prompt) {
+    if (prompt) {
+      badlyAnswering.clear();
+      localPause = localPause > slowAnswerTime ? localPause / 2 : 0;
+      totalOutstandingLimit =
+          Math.min(MAX_TOTAL_OUTSTANDING_LIMIT, totalOutstandingLimit + 1 / totalOutstandingLimit);
       return false;
     }
-    badRun.add(far.number);
-    boolean own = badRun.size() >= Math.min(OWN_RUN, list.size() / 2 + 1);
-    if (own && now - spent >= ownCutAt) {
-      ownCutAt = now;
-      ownAllowed = Math.min(ownAllowed, unanswered + 1) * SLOW_CUT;
-      if (ownAllowed < 1) {
-        ownAllowed = 1;
-        ownGap = Math.min(OWN_GAP_MOST, Math.max(slow, 2 * ownGap));
-        ownClosedUntil = Math.max(ownClosedUntil, now + ownGap * random.nextDouble());
+    badlyAnswering.add(remote.number);
+    boolean localOverload =
+        badlyAnswering.size() >= Math.min(LOCAL_OVERLOAD_EXCHANGES, directory.size() / 2 + 1);
+    if (localOverload && now - elapsed >= totalLimitReducedAt) {
+      totalLimitReducedAt = now;
+      totalOutstandingLimit =
+          Math.min(totalOutstandingLimit, outstandingAttempts + 1) * LIMIT_REDUCTION_FACTOR;
+      if (totalOutstandingLimit < 1) {
+        totalOutstandingLimit = 1;
+        localPause = Math.min(MAX_LOCAL_PAUSE_MILLIS, Math.max(slowAnswerTime, 2 * localPause));
+        localPausedUntil = Math.max(localPausedUntil, now + localPause * random.nextDouble());
       }
     }
-    return own;
+    return localOverload;
   }
 
   /** What the end of a set-up says of the far ends. */
-  private void judge(double now, Attempt attempt, AttemptEnded ended) {
-    double spent = Math.max(0, ended.elapsed() - stall);
+  private void assessOutcome(double now, Attempt attempt, AttemptEnded ended) {
+    double elapsed = Math.max(0, ended.elapsed() - stallDuration);
     switch (ended.outcome()) {
       // No connection, however quickly told: calls must not run through their attempts on it.
-      case REFUSED -> attempt.first.pressed(now, 0);
+      case REFUSED -> attempt.firstHop.recordOverload(now, 0);
       case TIMED_OUT -> {
-        if (!learnOwn(now, spent, attempt.first, spent < slow)) {
-          attempt.ends.forEach(far -> far.silent(now, spent));
+        if (!updateTotalLimit(now, elapsed, attempt.firstHop, elapsed < slowAnswerTime)) {
+          attempt.exchanges.forEach(remote -> remote.recordTimeout(now, elapsed));
         }
       }
       case BUSY -> {
         if (ended.reason() == Reason.PROCESSOR_FULL) {
-          if (!learnOwn(now, spent, attempt.first, false)) {
-            attempt.first.pressed(now, ended.requestedWait());
+          if (!updateTotalLimit(now, elapsed, attempt.firstHop, false)) {
+            attempt.firstHop.recordOverload(now, ended.requestedWait());
           }
         } else if (ended.reason() == Reason.FULL_BEYOND) {
-          attempt.destination.pressed(now, ended.requestedWait());
+          attempt.destination.recordOverload(now, ended.requestedWait());
         } else {
-          answered(now, attempt, spent, List.of(attempt.first));
+          recordAnswer(now, attempt, elapsed, List.of(attempt.firstHop));
         }
-        attempt.first.turnedBack.put(attempt.destination.number, now + TURNED_BACK_MS);
-        attempt.destination.carriers.remove(attempt.first);
+        attempt.firstHop.crankbackUntil.put(
+            attempt.destination.number, now + CRANKBACK_PAUSE_MILLIS);
+        attempt.destination.workingTandems.remove(attempt.firstHop);
       }
-      case ERROR -> answered(now, attempt, spent, attempt.ends);
+      case ERROR -> recordAnswer(now, attempt, elapsed, attempt.exchanges);
       case SKIPPED -> {
         // The own processor is down: what is sent now only uses up attempts.
         if (ended.reason() == Reason.PROCESSOR_FULL) {
-          ownClosedUntil = now + slow;
+          localPausedUntil = now + slowAnswerTime;
         } else {
-          attempt.first.free = Math.min(attempt.first.free, attempt.held.call.width() - 1);
+          attempt.firstHop.freeCircuits =
+              Math.min(attempt.firstHop.freeCircuits, attempt.call.request.width() - 1);
         }
       }
       default -> {}
     }
   }
 
-  private void next(double now, Held held, AttemptEnded ended) {
+  private void retryOrAnswer(double now, TrackedCall call, AttemptEnded ended) {
     if (ended.reason() == Reason.NUMBER_BUSY) {
-      crowded.put(held.call.number(), now + CROWDED_MS);
-      refuse(held);
-    } else if (held.call.transit() || now >= held.aimBy - LEAST_AIM || !held.repeats(now, null)) {
-      fail(held);
+      congestedNumbers.put(call.request.number(), now + CONGESTED_NUMBER_PAUSE_MILLIS);
+      refuse(call);
+    } else if (call.request.transit()
+        || now >= call.aimDeadline - MIN_TIME_TO_AIM_MILLIS
+        || !call.mayRepeatAt(now, null)) {
+      fail(call);
     } else {
-      route(now, held);
+      route(now, call);
     }
   }
 
-  private void refuse(Held held) {
-    if (held.ran != null && !held.kind.repeatAnywhere()) {
-      fail(held);
+  private void refuse(TrackedCall call) {
+    if (call.uncertainAttempt != null && !call.callClass.repeatAnywhere()) {
+      fail(call);
       return;
     }
-    finish(held);
-    actions.refuse(held.call.id(), held.call.transit() ? 0 : comeBack(held));
+    finish(call);
+    actions.refuse(call.request.id(), call.request.transit() ? 0 : retryAfter(call));
   }
 
   /**
@@ -755,23 +815,24 @@
    * way are over and what is out toward its far end has been answered. Guards far ends in trouble
    * against redials that can only be refused. Could harm a caller whose way opens sooner.
    */
-  private double comeBack(Held held) {
-    double crowd = crowded.getOrDefault(held.call.number(), 0.0);
+  private double retryAfter(TrackedCall call) {
+    double congestedUntil = congestedNumbers.getOrDefault(call.request.number(), 0.0);
     double wait =
-        Math.max(0, Math.max(opens(held), crowd) - seen) + far(held.call.destination()).delay;
+        Math.max(0, Math.max(pausedUntil(call), congestedUntil) - lastEventAt)
+            + remoteExchange(call.request.destination()).answerDelay;
     return Math.min(settings.maxRetryAfter(), wait);
   }
 
-  private void fail(Held held) {
-    finish(held);
-    actions.fail(held.call.id());
+  private void fail(TrackedCall call) {
+    finish(call);
+    actions.fail(call.request.id());
   }
 
-  private void finish(Held held) {
-    held.finished = true;
-    line.remove(held);
-    if (held.out == null) {
-      calls.remove(held.call.id());
+  private void finish(TrackedCall call) {
+    call.finished = true;
+    waitQueue.remove(call);
+    if (call.currentAttempt == null) {
+      calls.remove(call.request.id());
     }
   }
 
@@ -781,129 +842,146 @@
    * Guards against any number, or line behind it, that answers busy again and again. Could harm
    * callers of a number whose lines come free within the pause.
    */
-  private boolean isCrowded(double now, String number) {
-    Double until = crowded.get(number);
-    crowded.computeIfPresent(number, (n, end) -> now < end ? end : now + CROWDED_MS);
+  private boolean isCongested(double now, String number) {
+    Double until = congestedNumbers.get(number);
+    congestedNumbers.computeIfPresent(
+        number, (key, end) -> now < end ? end : now + CONGESTED_NUMBER_PAUSE_MILLIS);
     return until != null && now < until;
   }
 
   // ---- Far ends -----------------------------------------------------------------------------
 
-  private Far far(int number) {
-    return fars.computeIfAbsent(number, Far::new);
+  private RemoteExchange remoteExchange(int number) {
+    return remoteExchanges.computeIfAbsent(number, RemoteExchange::new);
   }
 
   /** Takes over the circuits told; whether more are free, so that a waiting call may go. */
-  private boolean learnCircuits(String id, Load load) {
-    Exchange entry = list.get(id);
+  private boolean updateCircuits(String exchangeId, Load load) {
+    Exchange entry = directory.get(exchangeId);
     if (entry == null || Double.isNaN(load.freeCircuits()) || Double.isNaN(load.groupSize())) {
       return false;
     }
-    Far far = far(entry.number());
-    boolean more = !(load.freeCircuits() <= far.free);
-    far.free = load.freeCircuits();
-    far.size = load.groupSize();
-    return more;
+    RemoteExchange remote = remoteExchange(entry.number());
+    boolean moreFree = !(load.freeCircuits() <= remote.freeCircuits);
+    remote.freeCircuits = load.freeCircuits();
+    remote.groupSize = load.groupSize();
+    return moreFree;
   }
 
   /** A far end: its group of circuits, its thresholds and the one estimate of its health. */
-  private final class Far {
+  private final class RemoteExchange {
     final int number;
     final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
-    final ArrayDeque<Double> sends = new ArrayDeque<>();
-    final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
-    final LinkedHashSet<Far> carriers = new LinkedHashSet<>();
-    final Map<Integer, Double> turnedBack = new TreeMap<>();
-    Exchange current;
-    double free = Double.NaN;
-    double size = Double.NaN;
-    int ownBusy;
+    final ArrayDeque<Double> sendTimes = new ArrayDeque<>();
+    final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
+    final LinkedHashSet<RemoteExchange> workingTandems = new LinkedHashSet<>();
+    final Map<Integer, Double> crankbackUntil = new TreeMap<>();
+    Exchange currentEntry;
+    double freeCircuits = Double.NaN;
+    double groupSize = Double.NaN;
+    int localBusyCircuits;
     int[] thresholds;
-    double direct;
-    double blocked;
-    double others;
-    double overflowed;
-    double carried;
-    double allowed = OUT_FIRST;
-    double delay;
-    double cutAt;
-    double closedUntil;
-    double gap;
-    final double phaseOf = random.nextDouble();
-    double since;
-
-    Far(int number) {
+    double directCalls;
+    double blockedCalls;
+    double otherUsersRate;
+    double overflowedCalls;
+    double carriedOverflowCalls;
+    double outstandingLimit = INITIAL_OUTSTANDING_LIMIT;
+    double answerDelay;
+    double limitReducedAt;
+    double pausedUntil;
+    double trialInterval;
+    final double coldStartPhase = random.nextDouble();
+    double startLearnedAt;
+
+    RemoteExchange(int number) {
       this.number = number;
     }
 
-    boolean hasGroup() {
-      return number != settings.localExchange() && !(size <= 0);
+    boolean hasCircuitGroup() {
+      return number != settings.localExchange() && !(groupSize <= 0);
     }
 
-    double threshold(Held held) {
-      boolean open = thresholds == null || held.kind.worth() >= dearest && !held.late;
-      return open ? size : thresholds[held.call.type() + (held.late ? mix.length : 0)];
+    double threshold(TrackedCall call) {
+      boolean unlimited = thresholds == null || call.callClass.worth() >= maxWorth && !call.late;
+      return unlimited
+          ? groupSize
+          : thresholds[call.request.type() + (call.late ? classMix.length : 0)];
     }
 
-    boolean admits(Held held) {
-      return Double.isNaN(size)
-          || free >= held.call.width() && size - free + held.call.width() <= threshold(held);
+    boolean admits(TrackedCall call) {
+      return Double.isNaN(groupSize)
+          || freeCircuits >= call.request.width()
+              && groupSize - freeCircuits + call.request.width() <= threshold(call);
     }
 
     /** Whether an alternative call leaves the reserve free, which direct calls need more. */
-    boolean spares(Held held) {
-      double share = direct > 0 ? blocked / direct : 0;
-      double reserve = Math.floor(RESERVE_BASE * Math.sqrt(size) + RESERVE_SLOPE * share * size);
-      return Double.isNaN(size) || free - held.call.width() >= reserve;
-    }
-
-    void offered(Held held, boolean refused) {
-      if (!held.offered) {
-        held.offered = true;
-        direct++;
-        blocked += refused ? 1 : 0;
+    boolean leavesReserve(TrackedCall call) {
+      double blockedShare = directCalls > 0 ? blockedCalls / directCalls : 0;
+      double reserve =
+          Math.floor(
+              RESERVE_PER_ROOT_OF_SIZE * Math.sqrt(groupSize)
+                  + RESERVE_SHARE_PER_BLOCKED_SHARE * blockedShare * groupSize);
+      return Double.isNaN(groupSize) || freeCircuits - call.request.width() >= reserve;
+    }
+
+    void recordOffered(TrackedCall call, boolean refused) {
+      if (!call.countedAsOffered) {
+        call.countedAsOffered = true;
+        directCalls++;
+        blockedCalls += refused ? 1 : 0;
       }
     }
 
-    void recompute(double now, double span) {
-      arrivals.removeIf(arrival -> arrival[0] < now - WINDOW);
-      direct *= BLOCKED_KEEP;
-      blocked *= BLOCKED_KEEP;
-      overflowed *= BLOCKED_KEEP;
-      carried *= BLOCKED_KEEP;
-      thresholds = arrivals.isEmpty() || !(size >= 1) ? null : computed(span);
+    void recomputeThresholds(double now, double span) {
+      arrivals.removeIf(arrival -> arrival[0] < now - ARRIVAL_WINDOW_MILLIS);
+      directCalls *= COUNTER_RETENTION;
+      blockedCalls *= COUNTER_RETENTION;
+      overflowedCalls *= COUNTER_RETENTION;
+      carriedOverflowCalls *= COUNTER_RETENTION;
+      thresholds = arrivals.isEmpty() || !(groupSize >= 1) ? null : computeThresholds(span);
     }
 
     /** Own arrivals by class, and those of the other users of the group read off its circuits. */
-    private int[] computed(double span) {
-      double mixed = Arrays.stream(mix).sum();
-      double[] rates = new double[2 * mix.length];
-      double[] costs = new double[2 * mix.length];
-      double hold = 0;
-      double width = 0;
-      for (int k = 0; k < mix.length; k++) {
-        final int type = k;
-        double counted = arrivals.stream().filter(a -> a[1] == type).count();
-        rates[k] = (counted + MIX_WEIGHT * mix[k] / mixed) / (arrivals.size() + MIX_WEIGHT);
-        CallClass kind = settings.classes().get(k);
-        costs[k] = cost(kind.worth());
+    private int[] computeThresholds(double span) {
+      double mixTotal = Arrays.stream(classMix).sum();
+      double[] rates = new double[2 * classMix.length];
+      double[] costs = new double[2 * classMix.length];
+      double meanHold = 0;
+      double meanWidth = 0;
+      for (int classIndex = 0; classIndex < classMix.length; classIndex++) {
+        final int type = classIndex;
+        double arrivalCount = arrivals.stream().filter(arrival -> arrival[1] == type).count();
+        rates[classIndex] =
+            (arrivalCount + CLASS_MIX_WEIGHT_CALLS * classMix[classIndex] / mixTotal)
+                / (arrivals.size() + CLASS_MIX_WEIGHT_CALLS);
+        CallClass callClass = settings.classes().get(classIndex);
+        costs[classIndex] = blockingCost(callClass.worth());
         // A redial earns little, so it counts by the circuit: a wide one would shut out first
         // tries.
-        costs[mix.length + k] = cost(kind.worth() * kind.lateWorth() / kind.width());
-        hold += rates[k] * kind.hold();
-        width += rates[k] * kind.width();
+        costs[classMix.length + classIndex] =
+            blockingCost(callClass.worth() * callClass.lateWorth() / callClass.width());
+        meanHold += rates[classIndex] * callClass.hold();
+        meanWidth += rates[classIndex] * callClass.width();
       }
-      others += (Math.max(0, size - free - ownBusy) / width / hold - others) / 2;
-      for (int k = 0; k < mix.length; k++) {
-        rates[k] *= arrivals.size() / span + others;
+      otherUsersRate +=
+          (Math.max(0, groupSize - freeCircuits - localBusyCircuits) / meanWidth / meanHold
+                  - otherUsersRate)
+              / 2;
+      for (int classIndex = 0; classIndex < classMix.length; classIndex++) {
+        rates[classIndex] *= arrivals.size() / span + otherUsersRate;
       }
-      return NestedThresholdPolicy.thresholds((int) size, rates, hold, costs);
+      return NestedThresholdPolicy.thresholds((int) groupSize, rates, meanHold, costs);
     }
 
     /** Cost of blocking: what is above the cheapest counts as far as overflow is lost. */
-    private double cost(double worth) {
-      double rescued = Math.min(1, (carried + RESCUE_WEIGHT) / (overflowed + RESCUE_WEIGHT));
-      return cheapest + (worth - cheapest) * (1 - rescued);
+    private double blockingCost(double worth) {
+      double rescuedShare =
+          Math.min(
+              1,
+              (carriedOverflowCalls + PRIOR_SUCCESSFUL_CALLS)
+                  / (overflowedCalls + PRIOR_SUCCESSFUL_CALLS));
+      return minWorth + (worth - minWorth) * (1 - rescuedShare);
     }
 
     /**
@@ -911,32 +989,35 @@
      * against attempts that only burn work, whether the far end is silent, slow, pressed or cold.
      * Could harm a far end that recovered unseen: then the next trial call opens it again.
      */
-    boolean takes(double now, Held held) {
-      double rest = held.aimBy - now;
-      return now >= closedUntil
-          && rest >= (out.isEmpty() ? trial(held) : Math.max(delay, LEAST_AIM))
-          && out.size() < (int) allowed;
+    boolean accepts(double now, TrackedCall call) {
+      double timeLeft = call.aimDeadline - now;
+      return now >= pausedUntil
+          && timeLeft
+              >= (outstanding.isEmpty()
+                  ? minTimeForTrial(call)
+                  : Math.max(answerDelay, MIN_TIME_TO_AIM_MILLIS))
+          && outstanding.size() < (int) outstandingLimit;
     }
 
     /** What a call must have left to be the trial of a far end with nothing out. */
-    double trial(Held held) {
-      return Math.min(delay, TRIAL_SHARE * held.kind.aim());
+    double minTimeForTrial(TrackedCall call) {
+      return Math.min(answerDelay, TRIAL_AIM_SHARE * call.callClass.aim());
     }
 
-    void answered(double now, double spent) {
-      delay += DELAY_WEIGHT * (spent - delay);
-      if (spent <= slow) {
-        gap = gap > slow ? gap / 2 : 0;
-        allowed = Math.min(OUT_MOST, allowed + 1 / allowed);
+    void recordAnswer(double now, double elapsed) {
+      answerDelay += DELAY_SMOOTHING_WEIGHT * (elapsed - answerDelay);
+      if (elapsed <= slowAnswerTime) {
+        trialInterval = trialInterval > slowAnswerTime ? trialInterval / 2 : 0;
+        outstandingLimit = Math.min(MAX_OUTSTANDING_LIMIT, outstandingLimit + 1 / outstandingLimit);
       } else {
-        cut(now, spent, allowed * SLOW_CUT);
+        reduceLimit(now, elapsed, outstandingLimit * LIMIT_REDUCTION_FACTOR);
       }
     }
 
-    void silent(double now, double spent) {
-      if (spent >= slow) {
-        delay += DELAY_WEIGHT * (spent - delay);
-        cut(now, spent, 0);
+    void recordTimeout(double now, double elapsed) {
+      if (elapsed >= slowAnswerTime) {
+        answerDelay += DELAY_SMOOTHING_WEIGHT * (elapsed - answerDelay);
+        reduceLimit(now, elapsed, 0);
       }
     }
 
@@ -946,124 +1027,148 @@
      * from many controllers, whatever the trouble. Could harm calls to a far end that has just
      * recovered: they wait for the next trial.
      */
-    private void cut(double now, double spent, double left) {
-      if (now - spent >= cutAt) {
-        cutAt = now;
-        allowed = Math.max(1, left);
-        if (left < 1) {
-          close(now, slow, 0);
+    private void reduceLimit(double now, double elapsed, double newLimit) {
+      if (now - elapsed >= limitReducedAt) {
+        limitReducedAt = now;
+        outstandingLimit = Math.max(1, newLimit);
+        if (newLimit < 1) {
+          pause(now, slowAnswerTime, 0);
         }
       }
     }
 
-    private void close(double now, double first, double wait) {
-      double most = Math.min(GAP_MOST, Math.max(2 * slow, 4 * WINDOW / (1 + arrivals.size())));
-      gap = now < closedUntil ? gap : Math.min(most, Math.max(first, 2 * gap));
-      closedUntil = Math.max(closedUntil, now + Math.max(wait, gap * random.nextDouble()));
+    private void pause(double now, double firstInterval, double requestedWait) {
+      double maxInterval =
+          Math.min(
+              MAX_TRIAL_INTERVAL_MILLIS,
+              Math.max(2 * slowAnswerTime, 4 * ARRIVAL_WINDOW_MILLIS / (1 + arrivals.size())));
+      trialInterval =
+          now < pausedUntil
+              ? trialInterval
+              : Math.min(maxInterval, Math.max(firstInterval, 2 * trialInterval));
+      pausedUntil =
+          Math.max(pausedUntil, now + Math.max(requestedWait, trialInterval * random.nextDouble()));
     }
 
     /** Half an aim first, then intervals between own calls, as the senders may be many. */
-    void pressed(double now, double wait) {
-      allowed = 1;
-      close(now, gap > 0 ? Math.max(slow, 2 * WINDOW / (1 + arrivals.size())) : slow, wait);
+    void recordOverload(double now, double requestedWait) {
+      outstandingLimit = 1;
+      pause(
+          now,
+          trialInterval > 0
+              ? Math.max(slowAnswerTime, 2 * ARRIVAL_WINDOW_MILLIS / (1 + arrivals.size()))
+              : slowAnswerTime,
+          requestedWait);
     }
 
     /**
      * This controller's share of what a cold processor bears; under one, one in several windows.
      */
-    boolean withinColdBudget(double now) {
-      double capacity = WORK_PER_CALL * ownRate * settings.coldShare() * settings.coldWindow();
+    boolean withinColdStartBudget(double now) {
+      double capacity =
+          SETUPS_PER_LOCAL_CALL * localCallRate * settings.coldShare() * settings.coldWindow();
       double share = settings.coldMultiple() * capacity / settings.controllerCount();
       double window = settings.coldWindow() / Math.min(1, share);
-      while (!sends.isEmpty() && sends.peek() < now - window) {
-        sends.poll();
+      while (!sendTimes.isEmpty() && sendTimes.peek() < now - window) {
+        sendTimes.poll();
       }
-      boolean cold = current.startedAt() > 0 && now < current.startedAt() + settings.rampTime();
-      boolean phase = share >= 1 || now >= since + phaseOf * window;
-      return !cold || phase && sends.size() + 1 <= Math.max(1, share);
+      boolean cold =
+          currentEntry.startedAt() > 0 && now < currentEntry.startedAt() + settings.rampTime();
+      boolean phaseReached = share >= 1 || now >= startLearnedAt + coldStartPhase * window;
+      return !cold || phaseReached && sendTimes.size() + 1 <= Math.max(1, share);
     }
   }
 
   // ---- Calls and attempts -------------------------------------------------------------------
 
   /** A call that this controller owes an answer, or that stands. */
-  private static final class Held implements Comparable<Held> {
-    final Call call;
-    final CallClass kind;
-    final long order;
-    double finalBy;
-    double aimBy;
+  private static final class TrackedCall implements Comparable<TrackedCall> {
+    final Call request;
+    final CallClass callClass;
+    final long arrivalOrder;
+    double answerDeadline;
+    double aimDeadline;
     double guardUntil;
-    int attempts;
-    int tandems;
-    Attempt out;
-    Attempt ran;
+    int attemptsSent;
+    int tandemsTried;
+    Attempt currentAttempt;
+    Attempt uncertainAttempt;
     boolean late;
-    boolean standing;
+    boolean established;
     boolean finished;
-    boolean offered;
+    boolean countedAsOffered;
     boolean overflowed;
 
     /** What the call earns if it stands soon; a redial is mostly late. */
     double value() {
-      return kind.worth() * (late ? kind.lateWorth() : 1);
+      return callClass.worth() * (late ? callClass.lateWorth() : 1);
     }
 
     /** Whether a set-up may go there, or anywhere, after one that may have run: none made twice. */
-    boolean repeats(double now, Far there) {
-      boolean fits = ran == null || kind.repeatAnywhere() || there == null || there == ran.first;
-      return fits && (ran == null || now < ran.sent + kind.repeatWindow());
+    boolean mayRepeatAt(double now, RemoteExchange exchange) {
+      boolean permittedExchange =
+          uncertainAttempt == null
+              || callClass.repeatAnywhere()
+              || exchange == null
+              || exchange == uncertainAttempt.firstHop;
+      return permittedExchange
+          && (uncertainAttempt == null || now < uncertainAttempt.sentAt + callClass.repeatWindow());
     }
 
-    Held(Call call, CallClass kind, long order) {
-      this.call = call;
-      this.kind = kind;
-      this.order = order;
-      this.late = call.redial();
+    TrackedCall(Call request, CallClass callClass, long arrivalOrder) {
+      this.request = request;
+      this.callClass = callClass;
+      this.arrivalOrder = arrivalOrder;
+      this.late = request.redial();
     }
 
     @Override
-    public int compareTo(Held other) {
+    public int compareTo(TrackedCall other) {
       int byWorth = Double.compare(other.value(), value());
-      return byWorth != 0 ? byWorth : Long.compare(order, other.order);
+      return byWorth != 0 ? byWorth : Long.compare(arrivalOrder, other.arrivalOrder);
     }
   }
 
   /** One attempt of a call, through a first exchange to the destination. */
   private static final class Attempt {
     final int number;
-    final double sent;
-    final Far first;
-    final Far destination;
-    final List<Far> ends;
-    final Held held;
+    final double sentAt;
+    final RemoteExchange firstHop;
+    final RemoteExchange destination;
+    final List<RemoteExchange> exchanges;
+    final TrackedCall call;
     boolean answered;
 
-    Attempt(int number, double sent, Far first, Far destination, Held held) {
+    Attempt(
+        int number,
+        double sentAt,
+        RemoteExchange firstHop,
+        RemoteExchange destination,
+        TrackedCall call) {
       this.number = number;
-      this.sent = sent;
-      this.first = first;
+      this.sentAt = sentAt;
+      this.firstHop = firstHop;
       this.destination = destination;
-      this.held = held;
-      this.ends = first == destination ? List.of(first) : List.of(first, destination);
-      ends.forEach(far -> far.out.add(this));
+      this.call = call;
+      this.exchanges = firstHop == destination ? List.of(firstHop) : List.of(firstHop, destination);
+      exchanges.forEach(remote -> remote.outstanding.add(this));
     }
 
-    void answered(double now, double spent, List<Far> by) {
+    void recordAnswer(double now, double elapsed, List<RemoteExchange> answeredBy) {
       answered = true;
-      release();
-      by.forEach(far -> far.answered(now, spent));
+      removeFromOutstanding();
+      answeredBy.forEach(remote -> remote.recordAnswer(now, elapsed));
     }
 
-    void release() {
-      ends.forEach(far -> far.out.remove(this));
+    void removeFromOutstanding() {
+      exchanges.forEach(remote -> remote.outstanding.remove(this));
     }
 
     /** The circuits toward the first exchange are free again. */
-    void over() {
-      release();
-      if (first == destination && !held.call.transit()) {
-        first.ownBusy -= held.call.width();
+    void close() {
+      removeFromOutstanding();
+      if (firstHop == destination && !call.request.transit()) {
+        firstHop.localBusyCircuits -= call.request.width();
       }
     }
   }
