--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -13,103 +13,156 @@
 import java.util.TreeSet;
 
 /**
- * All decisions of a call controller. Its types, events and actions are in CallPolicy.java.
+ * The routing policy: admits calls by Koole's nested thresholds, routes them directly or through a
+ * tandem, and limits the set-ups that are outstanding toward each exchange.
  *
- * <p>Reading map: tuned values; what is remembered; events; ordinary path; thresholds; the gate
- * before every send ({@code maySend}); waiting line; answers; crowded numbers; health.
+ * <p>All times, durations and clock values are in milliseconds, and all rates are per millisecond.
+ * The sections follow in this order: constants; state; events; routing; thresholds; conditions for
+ * sending ({@code maySend}); wait queue; answers of attempts; congested numbers; remote exchanges;
+ * calls and attempts.
  */
 public final class NestedThresholdPolicy implements CallPolicy {
 
-  // ---- Tuned values -------------------------------------------------------------------------
+  // ---- Constants ----------------------------------------------------------------------------
 
-  /** Time between two computations of the thresholds, ms; DESIGN's value. */
+  /** Interval between two computations of Koole's nested thresholds, ms. */
   private static final double RECOMPUTE_INTERVAL_MILLIS = 2000;
 
-  /** Window over which arrivals are counted, ms; DESIGN's value. */
+  /** Window over which arrivals are counted for Koole's nested thresholds, ms. */
   private static final double ARRIVAL_WINDOW_MILLIS = 10000;
 
-  /** Beat by which the module sees that it stood still, ms; short beside every aim. */
+  /**
+   * Interval of the heartbeat that reveals stalls of this controller, ms; short compared with every
+   * aim.
+   */
   private static final double HEARTBEAT_INTERVAL_MILLIS = 100;
 
-  /** Discount of the recursion for each step; DESIGN's value, a horizon of about one hold. */
+  /**
+   * Discount of each step of the value iteration for Koole's nested thresholds; its horizon is
+   * about one holding time.
+   */
   private static final double DISCOUNT_FACTOR = 0.99;
 
-  /** Sweeps of the recursion; DESIGN says dozens. */
+  /** Steps of the value iteration for one computation; Koole's nested thresholds take dozens. */
   private static final int VALUE_ITERATIONS = 60;
 
-  /** Calls' worth of the exchange-wide mix put beside a group's own count of classes. */
+  /**
+   * Weight, in calls, of the class mix of all destinations beside the calls counted for one circuit
+   * group.
+   */
   private static final double CLASS_MIX_WEIGHT_CALLS = 20;
 
-  /** Part of the exchange-wide mix kept at each computation; about a minute's memory. */
+  /** Share of the class mix that each computation retains; a memory of about one minute. */
   private static final double CLASS_MIX_RETENTION = 0.97;
 
-  /** Circuits that alternative calls always leave free on a leg, for the root of its size. */
+  /** Circuits that alternative calls always leave free in a group, per square root of its size. */
   private static final double RESERVE_PER_ROOT_OF_SIZE = 0.3;
 
-  /** Further reserve as a share of the group, for a share 1 of direct calls blocked. */
+  /**
+   * Share of the group that alternative calls leave free in addition when all direct calls are
+   * blocked; proportionally less when fewer are.
+   */
   private static final double RESERVE_SHARE_PER_BLOCKED_SHARE = 0.5;
 
-  /** Part of the blocked share kept at each computation; about the window's memory. */
+  /**
+   * Share of the counts of blocked, overflowed and tandem calls that each computation retains; a
+   * memory of about the arrival window.
+   */
   private static final double COUNTER_RETENTION = 0.8;
 
-  /** Calls taken as rescued beside those counted, so that a quiet group starts open. */
+  /**
+   * Calls that are assumed to have been carried by a tandem in addition to those counted, so that a
+   * group with little traffic starts with alternative routes open.
+   */
   private static final double PRIOR_SUCCESSFUL_CALLS = 2;
 
-  /** Tandems that one call tries; each turned back costs work at two exchanges. */
+  /** Maximum number of tandems tried for one call; each crankback costs work at two exchanges. */
   private static final int MAX_TANDEM_ATTEMPTS = 2;
 
-  /** Exchanges drawn at most in search of a tandem: the cost must not grow with the fleet. */
+  /**
+   * Maximum number of exchanges drawn in the search for a tandem, so that the cost of a search does
+   * not grow with the number of exchanges.
+   */
   private static final int MAX_TANDEM_DRAWS = 16;
 
-  /** Fit tandems among which the one with most room is taken. */
+  /**
+   * Number of suitable tandems after which the search ends; the one with the most free circuits is
+   * chosen among them.
+   */
   private static final int MAX_SUITABLE_TANDEMS = 3;
 
-  /** A tandem that turned back a call to some destination is left out for it so long, ms. */
+  /**
+   * Time for which a tandem is not used for a destination after it turned back a call to it, ms.
+   */
   private static final double CRANKBACK_PAUSE_MILLIS = 1500;
 
-  /** Set-ups out toward one far end at first; low, as the far end may be sick or cold. */
+  /**
+   * Initial limit of the set-ups outstanding toward one exchange; low because the exchange may be
+   * faulty or cold.
+   */
   private static final double INITIAL_OUTSTANDING_LIMIT = 4;
 
-  /** Set-ups out toward one far end at most; a warm processor answers these within an aim. */
+  /**
+   * Highest limit of the set-ups outstanding toward one exchange; a warm processor answers as many
+   * within an aim.
+   */
   private static final double MAX_OUTSTANDING_LIMIT = 16;
 
-  /** Answers within this share of the shortest aim show a far end that keeps up. */
+  /** Share of the shortest aim within which an answer shows that an exchange keeps up. */
   private static final double SLOW_ANSWER_SHARE = 0.5;
 
-  /** Set-ups out of this controller at most; seldom reached unless answers fail to come. */
+  /**
+   * Highest limit of the set-ups outstanding toward all exchanges together; rarely reached unless
+   * answers fail to arrive.
+   */
   private static final double MAX_TOTAL_OUTSTANDING_LIMIT = 16;
 
-  /** Far ends that answer badly in turn before the own processor is held for the cause. */
+  /**
+   * Number of exchanges that must answer badly, with no prompt answer in between, before the local
+   * processor is taken as the cause.
+   */
   private static final int LOCAL_OVERLOAD_EXCHANGES = 6;
 
-  /** Longest gap between set-ups of a pressed own processor, ms. */
+  /** Longest pause between set-ups while the local processor is overloaded, ms. */
   private static final double MAX_LOCAL_PAUSE_MILLIS = 2000;
 
-  /** What a slow answer leaves of the set-ups allowed out. */
+  /** Factor by which a slow answer reduces the limit of outstanding set-ups. */
   private static final double LIMIT_REDUCTION_FACTOR = 0.7;
 
-  /** Weight of a new answer's time in the delay expected of a far end. */
+  /** Weight of a new answer time in the exponentially smoothed answer times. */
   private static final double DELAY_SMOOTHING_WEIGHT = 0.3;
 
-  /** Shortest time to its aim with which a set-up is still worth sending, ms. */
+  /** Shortest time to its aim at which sending a call is still worthwhile, ms. */
   private static final double MIN_TIME_TO_AIM_MILLIS = 50;
 
-  /** Share of its aim that a call must have left to be the trial call of a far end in doubt. */
+  /**
+   * Share of its aim that a call must have left to be the trial call of an exchange whose state is
+   * unknown.
+   */
   private static final double TRIAL_AIM_SHARE = 0.7;
 
-  /** Longest gap between trials of a far end, ms; four intervals between own calls where less. */
+  /**
+   * Longest interval between trial calls to an exchange, ms; four mean intervals between the local
+   * calls to it where that is shorter.
+   */
   private static final double MAX_TRIAL_INTERVAL_MILLIS = 8000;
 
-  /** A number with all lines busy is left alone for so long, then tried by one call, ms. */
+  /**
+   * Time for which calls to a number are refused after all its lines were busy, ms; then one call
+   * tries it again.
+   */
   private static final double CONGESTED_NUMBER_PAUSE_MILLIS = 1000;
 
-  /** Set-ups a second that a warm processor does for each call a second of its own callers. */
+  /** Set-ups that a warm processor handles for each call of its local callers. */
   private static final double SETUPS_PER_LOCAL_CALL = 2;
 
-  /** Final answers leave so many clock steps before the caller's time is up. */
+  /**
+   * Steps of the clock resolution by which the final answer precedes the end of the caller's
+   * patience.
+   */
   private static final double FINAL_ANSWER_CLOCK_STEPS = 3;
 
-  // ---- What is remembered -------------------------------------------------------------------
+  // ---- State --------------------------------------------------------------------------------
 
   private static final long RECOMPUTE_TIMER = 0;
   private static final long HEARTBEAT_TIMER = 1;
@@ -117,34 +170,81 @@
   private final Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
+
+  /**
+   * Answer time above which an answer counts as slow: a share of the shortest aim, or the time of a
+   * retransmission if that is shorter.
+   */
   private final double slowAnswerTime;
+
   private final boolean usesPools;
+
+  /** Decaying number of first calls of each class, over all destinations. */
   private final double[] classMix;
+
+  /** Decaying number of attempts through a tandem, by class. */
   private final double[] tandemAttempts;
+
+  /** Decaying number of attempts through a tandem that were answered, by class. */
   private final double[] tandemAnswers;
+
+  /** Decaying sum of the worths of the calls in {@code recentCalls}. */
   private double recentWorth;
+
+  /** Decaying number of first calls. */
   private double recentCalls;
+
+  /** Smoothed answer time of all exchanges. */
   private double meanAnswerTime;
+
   private final double maxWorth;
   private final double minWorth;
+
+  /** The exchange directory, by exchange id. */
   private final Map<String, Exchange> directory = new LinkedHashMap<>();
+
+  /** Remote exchanges or pools, by number. */
   private final Map<Integer, RemoteExchange> remoteExchanges = new TreeMap<>();
+
   private final List<RemoteExchange> inServiceExchanges = new ArrayList<>();
   private final Map<String, TrackedCall> calls = new LinkedHashMap<>();
   private final TreeSet<TrackedCall> waitQueue = new TreeSet<>();
+
+  /** Calls by the label of their timer. */
   private final Map<Long, TrackedCall> timers = new LinkedHashMap<>();
+
+  /** Congested numbers and the end of their pause. */
   private final Map<String, Double> congestedNumbers = new LinkedHashMap<>();
+
+  /** Arrival times of the calls of local callers within the arrival window. */
   private final ArrayDeque<Double> localArrivals = new ArrayDeque<>();
+
   private double localCallRate;
   private double startedAt;
+
+  /** Counter for the labels of call timers and the arrival order of calls. */
   private long sequence = HEARTBEAT_TIMER;
+
+  /** Attempts without an answer, toward all exchanges. */
   private int outstandingAttempts;
+
   private double totalOutstandingLimit = MAX_TOTAL_OUTSTANDING_LIMIT / 3;
+
+  /** Upper bound of the random pause between set-ups while the local processor is overloaded. */
   private double localPause;
+
   private double lastEventAt;
+
+  /** Length of the stall that ended at the last event; 0 if there was none. */
   private double stallDuration;
+
+  /** Longest patience of a caller seen so far, by class. */
   private final double[] maxPatience;
+
+  /** Numbers of the exchanges that answered badly since the last prompt answer. */
   private final TreeSet<Integer> badlyAnswering = new TreeSet<>();
+
+  /** Time of the last reduction of the limit of all outstanding set-ups. */
   private double totalLimitReducedAt;
 
   /** Number of searches for a route so far: the main work of the policy. */
@@ -156,7 +256,11 @@
   private double localPausedUntil;
 
   /**
-   * Makes a module from what the controller is told at start; the seed is of every random choice.
+   * Creates a policy.
+   *
+   * @param settings settings of the controller
+   * @param seed seed of all random choices
+   * @param actions receiver of the actions that the policy requests
    */
   public NestedThresholdPolicy(Settings settings, long seed, Actions actions) {
     this.settings = settings;
@@ -315,13 +419,14 @@
 
   @Override
   public void onPeerMessage(double now, int from, byte[] payload) {
-    // The module sends no messages, so any that comes is not meant for this version.
+    // This policy sends no messages to other controllers; one that arrives is for another version.
   }
 
   /**
-   * A gap in the module's own beat tells how long it stood still. Guards the estimates of far ends
-   * against answers that lay unread, and the line against calls whose aim went by unseen, whatever
-   * held the controller up. Could harm by taking a slow answer of that moment for a quick one.
+   * Updates the clock and detects a stall: events that are more than two heartbeats apart. Answers
+   * that lay unread during the stall must not count as slow, and calls must not wait for an aim
+   * that passed during it, whatever stalled the controller. An exchange that really answered slowly
+   * during a stall is taken for a prompt one.
    */
   private void updateClock(double now) {
     if (now > lastEventAt) {
@@ -330,7 +435,10 @@
     }
   }
 
-  /** Time to the aim of a new call. One that came too late for it is placed with the redials. */
+  /**
+   * Returns the time to the aim of a new call. Time lost in a stall is deducted; a call that can no
+   * longer reach its aim is classed as late, as redials are.
+   */
   private double timeToAim(TrackedCall call) {
     double aim = call.callClass.aim();
     int type = call.request.type();
@@ -365,9 +473,9 @@
     actions.startTimer(Math.max(0, delay), label);
   }
 
-  // ---- Ordinary path ------------------------------------------------------------------------
+  // ---- Routing ------------------------------------------------------------------------------
 
-  /** Decides on a call that has no attempt out: send, wait, refuse. */
+  /** Decides on a call with no outstanding attempt: it is sent, waits or is refused. */
   private void route(double now, TrackedCall call) {
     routesSearched++;
     if (call.request.transit()) {
@@ -401,8 +509,9 @@
   }
 
   /**
-   * Of the fit tandems (or pools of second choice) that lately carried a call there the one with
-   * most room; where there is none, the same of the first fit ones drawn at random.
+   * Sends the call through the tandem (or pool of second choice) with the most free circuits: of
+   * the suitable ones that recently carried a call to the destination or, if there are none, of the
+   * first suitable ones drawn at random.
    */
   private void routeAlternative(double now, TrackedCall call) {
     RemoteExchange destination = remoteExchange(call.request.destination());
@@ -440,10 +549,12 @@
   }
 
   /**
-   * Whether a set-up is worth its work: the chance that it comes to something, times what the call
-   * still earns beside a mean call, against the share of a good answer's time that answers take.
-   * Guards against crankbacks and jams, whatever fills groups or slows processors: idle ones make a
-   * set-up nearly free. Could harm when these have just come free, until the counts fade.
+   * Whether a set-up is worth the work that it causes: its chance of success, times the value of
+   * the call relative to the mean of recent calls, must reach the present answer time relative to
+   * the time of a slow answer. This prevents crankbacks and congestion, whatever fills groups or
+   * slows processors; while processors are idle and answer fast, nearly every set-up is worthwhile.
+   * Just after circuits or processors have come free, calls are still held back until the counts
+   * decay.
    */
   private boolean isWorthSetup(TrackedCall call, double chance) {
     return chance * call.value() * recentCalls >= recentWorth * meanAnswerTime / slowAnswerTime;
@@ -453,6 +564,10 @@
     return one == null || other.freeCircuits > one.freeCircuits ? other : one;
   }
 
+  /**
+   * Whether the tandem (or pool) may take an alternative call now: the class may use it, it has
+   * circuits to spare, answers promptly and has not recently turned back a call to the destination.
+   */
   private boolean isSuitableTandem(
       double now, TrackedCall call, RemoteExchange tandem, RemoteExchange destination) {
     return (!usesPools
@@ -469,7 +584,7 @@
         && maySend(now, call, tandem, usesPools ? tandem : destination);
   }
 
-  /** A call in transit goes on to its destination at once or is turned back. */
+  /** Forwards a call in transit to its destination at once, or turns it back. */
   private void routeTransit(double now, TrackedCall call) {
     RemoteExchange destination = remoteExchange(call.request.destination());
     if (destination.hasCircuitGroup()
@@ -513,8 +628,15 @@
   }
 
   /**
-   * The report's value recursion on the busy count of one group, for Poisson arrivals: rates per
-   * ms, hold in ms. For each class the first occupancy at which blocking is cheaper, or the size.
+   * Computes Koole's nested thresholds of a circuit group by value iteration on the number of busy
+   * circuits, for Poisson arrivals.
+   *
+   * @param size number of circuits
+   * @param rates arrival rate of each class, per ms
+   * @param hold mean holding time, ms
+   * @param costs cost of blocking a call of each class
+   * @return for each class the lowest number of busy circuits at which blocking is cheaper than
+   *     admission, or the size if there is none
    */
   static int[] thresholds(int size, double[] rates, double hold, double[] costs) {
     double serviceRate = 1 / hold;
@@ -564,11 +686,12 @@
     return nextValues;
   }
 
-  // ---- The gate before every send -----------------------------------------------------------
+  // ---- Conditions for sending ---------------------------------------------------------------
 
   /**
-   * The one owner of "may this call be sent there now": one attempt out, release guard, attempts
-   * left, state of the exchange on the list, time left, set-ups out, budget of a cold processor.
+   * Whether the call may be sent to this exchange now. All conditions are checked here: no attempt
+   * outstanding, guard time over, attempts left, the exchange in service according to the
+   * directory, time left, limits of outstanding set-ups, budget of a cold processor.
    */
   private boolean maySend(
       double now, TrackedCall call, RemoteExchange firstHop, RemoteExchange destination) {
@@ -587,7 +710,9 @@
   }
 
   /**
-   * A call that does not pay goes only while nothing else is out; those in transit are half done.
+   * Whether the local processor may handle another set-up. A call that is not worth its set-up goes
+   * only while nothing else is outstanding; calls in transit are exempt, as half their work is
+   * done.
    */
   private boolean localProcessorAccepts(double now, TrackedCall call) {
     int limit = call.request.transit() || isWorthSetup(call, 1) ? (int) totalOutstandingLimit : 1;
@@ -607,11 +732,12 @@
     actions.send(call.request.id(), firstHop.currentEntry.id(), call.aimDeadline - now);
   }
 
-  // ---- The waiting line ---------------------------------------------------------------------
+  // ---- Wait queue ---------------------------------------------------------------------------
 
   /**
-   * Holds a call that the thresholds do not refuse until circuits or set-ups come free, no longer
-   * than its aim allows. Answers every shortage that passes within a second or so. Dearest first.
+   * Lets a call that the thresholds admit wait for circuits or permission to send, no longer than
+   * its aim allows; this bridges any shortage that passes within a second or so. The most valuable
+   * calls are served first.
    */
   private void waitOrRefuse(double now, TrackedCall call) {
     if (call.request.transit() || isUnroutable(now, call)) {
@@ -625,10 +751,13 @@
   }
 
   /**
-   * Lets calls leave the line, dearest first. Where the own processor takes one no more it takes
-   * none behind it, and the walk ends; only the beat and the list walk on, to answer calls that are
-   * lost. Guards against work that grows with the line at every event, whatever filled the line.
-   * Could keep a lost call waiting for one beat.
+   * Sends waiting calls, most valuable first. Once the local processor accepts no call it accepts
+   * none of the less valuable ones behind it, and the search ends; only heartbeats and directory
+   * updates examine the whole queue, to refuse unroutable calls. The work of an event therefore
+   * does not grow with the queue, whatever filled it. An unroutable call may wait for one heartbeat
+   * longer.
+   *
+   * @param wholeQueue whether to examine the whole queue
    */
   private void serveWaitQueue(double now, boolean wholeQueue) {
     TrackedCall nextCall;
@@ -650,10 +779,10 @@
   }
 
   /**
-   * Whether no way is left to send the call within its aim, as far as the module can know: it then
-   * gets its answer at once, so that its caller may turn elsewhere or dial again. Guards against
-   * calls held for nothing, whatever closed their ways. Could harm where a way opens sooner than
-   * told: the list names a new exchange, or a pause drawn too long.
+   * Whether no way is known to send the call within its aim. Such a call is answered at once, so
+   * that its caller may turn elsewhere or redial, instead of waiting in vain, whatever closed its
+   * routes. It is refused wrongly if a route opens earlier than expected: the directory names a new
+   * exchange, or a random pause was longer than needed.
    */
   private boolean isUnroutable(double now, TrackedCall call) {
     RemoteExchange destination = remoteExchange(call.request.destination());
@@ -669,7 +798,7 @@
         || !hasDirectGroup && call.tandemsTried >= MAX_TANDEM_ATTEMPTS;
   }
 
-  /** When the pauses that stand in the call's way are over. */
+  /** Returns the time at which all pauses that affect the call are over. */
   private double pausedUntil(TrackedCall call) {
     double exchangePausedUntil =
         usesPools ? 0 : remoteExchange(call.request.destination()).pausedUntil;
@@ -704,8 +833,9 @@
   }
 
   /**
-   * An answer in time or not: frees its place and tells of the own processor and of the far ends
-   * that gave it. What a tandem turned back its destination never saw.
+   * Records an answer, prompt or slow, that ends the attempt's time as outstanding. Its time
+   * updates the limits of the local processor and of the exchanges that answered; a call that its
+   * tandem turned back says nothing about the destination, which never received it.
    */
   private void recordAnswer(
       double now, Attempt attempt, double elapsed, List<RemoteExchange> answeredBy) {
@@ -719,10 +849,13 @@
   }
 
   /**
-   * Where many far ends in turn answer badly with no good answer between, the own processor, which
-   * every set-up passes, is the likelier cause: all set-ups out are then limited together, and when
-   * few are left they are spread in time. Guards whatever slows the own processor. Could harm when
-   * most far ends really are in trouble at once: then calls to the sound ones wait too.
+   * Updates the limit of all outstanding set-ups. When many exchanges answer badly, with no prompt
+   * answer in between, the likelier cause is the local processor, which handles every set-up: the
+   * total is then limited, and once the limit falls below one, set-ups are spread in time. This
+   * covers whatever slows the local processor. If most exchanges really are in trouble at once,
+   * calls to the healthy ones wait too.
+   *
+   * @return whether the local processor is taken as the cause of a bad answer
    */
   private boolean updateTotalLimit(
       double now, double elapsed, RemoteExchange remote, boolean prompt) {
@@ -749,11 +882,11 @@
     return localOverload;
   }
 
-  /** What the end of a set-up says of the far ends. */
+  /** Updates the estimates of the exchanges from the end of an attempt that was not established. */
   private void assessOutcome(double now, Attempt attempt, AttemptEnded ended) {
     double elapsed = Math.max(0, ended.elapsed() - stallDuration);
     switch (ended.outcome()) {
-      // No connection, however quickly told: calls must not run through their attempts on it.
+      // A refused connection, however fast, must not use up the attempts of calls.
       case REFUSED -> attempt.firstHop.recordOverload(now, 0);
       case TIMED_OUT -> {
         if (!updateTotalLimit(now, elapsed, attempt.firstHop, elapsed < slowAnswerTime)) {
@@ -776,7 +909,7 @@
       }
       case ERROR -> recordAnswer(now, attempt, elapsed, attempt.exchanges);
       case SKIPPED -> {
-        // The own processor is down: what is sent now only uses up attempts.
+        // The local processor is down: set-ups sent now would only use up attempts.
         if (ended.reason() == Reason.PROCESSOR_FULL) {
           localPausedUntil = now + slowAnswerTime;
         } else {
@@ -811,9 +944,10 @@
   }
 
   /**
-   * How long a refused caller should stay away, where callers follow it: until the pauses in its
-   * way are over and what is out toward its far end has been answered. Guards far ends in trouble
-   * against redials that can only be refused. Could harm a caller whose way opens sooner.
+   * Returns the time that a refused caller is asked to wait, if callers observe it: until the
+   * pauses that affect the call are over and the outstanding set-ups to its destination have been
+   * answered. This protects exchanges in trouble from redials that can only be refused. A caller
+   * whose route opens earlier waits longer than needed.
    */
   private double retryAfter(TrackedCall call) {
     double congestedUntil = congestedNumbers.getOrDefault(call.request.number(), 0.0);
@@ -836,11 +970,12 @@
     }
   }
 
-  // ---- Crowded numbers ----------------------------------------------------------------------
+  // ---- Congested numbers --------------------------------------------------------------------
 
   /**
-   * Guards against any number, or line behind it, that answers busy again and again. Could harm
-   * callers of a number whose lines come free within the pause.
+   * Whether calls to this number are refused for now. After each pause one call tries the number.
+   * This protects against a number, or a wait queue behind it, that is busy again and again. If one
+   * of its lines comes free within the pause, callers are refused although they could be connected.
    */
   private boolean isCongested(double now, String number) {
     Double until = congestedNumbers.get(number);
@@ -849,13 +984,15 @@
     return until != null && now < until;
   }
 
-  // ---- Far ends -----------------------------------------------------------------------------
+  // ---- Remote exchanges ---------------------------------------------------------------------
 
   private RemoteExchange remoteExchange(int number) {
     return remoteExchanges.computeIfAbsent(number, RemoteExchange::new);
   }
 
-  /** Takes over the circuits told; whether more are free, so that a waiting call may go. */
+  /**
+   * Updates the reported circuits; returns whether more are free, so that a waiting call may go.
+   */
   private boolean updateCircuits(String exchangeId, Load load) {
     Exchange entry = directory.get(exchangeId);
     if (entry == null || Double.isNaN(load.freeCircuits()) || Double.isNaN(load.groupSize())) {
@@ -868,30 +1005,64 @@
     return moreFree;
   }
 
-  /** A far end: its group of circuits, its thresholds and the one estimate of its health. */
+  /**
+   * A remote exchange or pool: its circuit group, its thresholds and the only estimate of its
+   * health.
+   */
   private final class RemoteExchange {
     final int number;
+
+    /** Arrival time and class of the first calls to this exchange within the arrival window. */
     final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
+
+    /** Times of the set-ups sent within the cold-start window. */
     final ArrayDeque<Double> sendTimes = new ArrayDeque<>();
+
+    /** Attempts without an answer that were sent to this exchange or through a tandem to it. */
     final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
+
+    /** First hops that carried a call here and have not turned one back since. */
     final LinkedHashSet<RemoteExchange> workingTandems = new LinkedHashSet<>();
+
+    /** As a tandem: until when it is not used, by the number of the destination. */
     final Map<Integer, Double> crankbackUntil = new TreeMap<>();
+
+    /** The directory entry in service that started last; null if there is none. */
     Exchange currentEntry;
+
     double freeCircuits = Double.NaN;
     double groupSize = Double.NaN;
+
+    /** Circuits seized by direct calls of this controller. */
     int localBusyCircuits;
+
     int[] thresholds;
     double directCalls;
     double blockedCalls;
+
+    /** Arrival rate of the calls of the other users of the circuit group. */
     double otherUsersRate;
+
     double overflowedCalls;
     double carriedOverflowCalls;
     double outstandingLimit = INITIAL_OUTSTANDING_LIMIT;
+
+    /** Smoothed answer time. */
     double answerDelay;
+
     double limitReducedAt;
     double pausedUntil;
+
+    /** Upper bound of the random pause before the next trial call. */
     double trialInterval;
+
+    /**
+     * Random share of the cold-start window that passes before the first set-up, so that
+     * controllers do not all send together.
+     */
     final double coldStartPhase = random.nextDouble();
+
+    /** When this controller learned of the last start of the exchange. */
     double startLearnedAt;
 
     RemoteExchange(int number) {
@@ -902,6 +1073,10 @@
       return number != settings.localExchange() && !(groupSize <= 0);
     }
 
+    /**
+     * Returns the highest number of busy circuits, those of the call included, at which it is
+     * admitted.
+     */
     double threshold(TrackedCall call) {
       boolean unlimited = thresholds == null || call.callClass.worth() >= maxWorth && !call.late;
       return unlimited
@@ -909,13 +1084,17 @@
           : thresholds[call.request.type() + (call.late ? classMix.length : 0)];
     }
 
+    /** Whether the threshold and the free circuits admit a direct call. */
     boolean admits(TrackedCall call) {
       return Double.isNaN(groupSize)
           || freeCircuits >= call.request.width()
               && groupSize - freeCircuits + call.request.width() <= threshold(call);
     }
 
-    /** Whether an alternative call leaves the reserve free, which direct calls need more. */
+    /**
+     * Whether an alternative or transit call leaves the reserve free; the reserve grows as direct
+     * calls are blocked.
+     */
     boolean leavesReserve(TrackedCall call) {
       double blockedShare = directCalls > 0 ? blockedCalls / directCalls : 0;
       double reserve =
@@ -942,7 +1121,10 @@
       thresholds = arrivals.isEmpty() || !(groupSize >= 1) ? null : computeThresholds(span);
     }
 
-    /** Own arrivals by class, and those of the other users of the group read off its circuits. */
+    /**
+     * Computes the thresholds from the local arrivals of each class and the arrivals of the other
+     * users of the group, which are estimated from its busy circuits.
+     */
     private int[] computeThresholds(double span) {
       double mixTotal = Arrays.stream(classMix).sum();
       double[] rates = new double[2 * classMix.length];
@@ -957,8 +1139,8 @@
                 / (arrivals.size() + CLASS_MIX_WEIGHT_CALLS);
         CallClass callClass = settings.classes().get(classIndex);
         costs[classIndex] = blockingCost(callClass.worth());
-        // A redial earns little, so it counts by the circuit: a wide one would shut out first
-        // tries.
+        // A redial earns little, so its cost counts per circuit: a wide one would otherwise block
+        // first calls.
         costs[classMix.length + classIndex] =
             blockingCost(callClass.worth() * callClass.lateWorth() / callClass.width());
         meanHold += rates[classIndex] * callClass.hold();
@@ -974,7 +1156,10 @@
       return NestedThresholdPolicy.thresholds((int) groupSize, rates, meanHold, costs);
     }
 
-    /** Cost of blocking: what is above the cheapest counts as far as overflow is lost. */
+    /**
+     * Returns the cost of blocking a call: the lowest worth, plus the rest of its worth to the
+     * extent that overflowed calls are not carried by a tandem.
+     */
     private double blockingCost(double worth) {
       double rescuedShare =
           Math.min(
@@ -985,9 +1170,10 @@
     }
 
     /**
-     * Whether one more set-up may go out: few enough out, and an answer in time to expect. Guards
-     * against attempts that only burn work, whether the far end is silent, slow, pressed or cold.
-     * Could harm a far end that recovered unseen: then the next trial call opens it again.
+     * Whether one more set-up may be sent: the limit is not reached, and a timely answer is
+     * expected. This prevents attempts that only waste work, whether the exchange is silent, slow,
+     * overloaded or cold. An exchange that recovered unnoticed is used again after its next trial
+     * call.
      */
     boolean accepts(double now, TrackedCall call) {
       double timeLeft = call.aimDeadline - now;
@@ -999,7 +1185,10 @@
           && outstanding.size() < (int) outstandingLimit;
     }
 
-    /** What a call must have left to be the trial of a far end with nothing out. */
+    /**
+     * Returns the time to its aim that a call needs to be the trial call of an exchange with no
+     * outstanding set-up.
+     */
     double minTimeForTrial(TrackedCall call) {
       return Math.min(answerDelay, TRIAL_AIM_SHARE * call.callClass.aim());
     }
@@ -1022,10 +1211,10 @@
     }
 
     /**
-     * One cut for all set-ups of one round. Under one set-up out the trials are spread, further
-     * apart after each that fails. Guards a far end in trouble against the sum of single trials
-     * from many controllers, whatever the trouble. Could harm calls to a far end that has just
-     * recovered: they wait for the next trial.
+     * Reduces the limit, once for all set-ups that were outstanding together. Below one, trial
+     * calls are spread in time, further apart after each failure; this protects an exchange in
+     * trouble, for whatever reason, from the sum of the trial calls of many controllers. Calls to
+     * an exchange that has just recovered wait for the next trial call.
      */
     private void reduceLimit(double now, double elapsed, double newLimit) {
       if (now - elapsed >= limitReducedAt) {
@@ -1037,6 +1226,7 @@
       }
     }
 
+    /** Pauses for a random time up to the trial interval, at least for the requested wait. */
     private void pause(double now, double firstInterval, double requestedWait) {
       double maxInterval =
           Math.min(
@@ -1050,7 +1240,10 @@
           Math.max(pausedUntil, now + Math.max(requestedWait, trialInterval * random.nextDouble()));
     }
 
-    /** Half an aim first, then intervals between own calls, as the senders may be many. */
+    /**
+     * Records that the processor is overloaded. The trial interval is half an aim at first, then
+     * the interval between local calls, as many controllers may be sending.
+     */
     void recordOverload(double now, double requestedWait) {
       outstandingLimit = 1;
       pause(
@@ -1062,7 +1255,8 @@
     }
 
     /**
-     * This controller's share of what a cold processor bears; under one, one in several windows.
+     * Whether a set-up is within this controller's share of what a cold processor can bear. A share
+     * below one set-up per window allows one set-up in a window extended accordingly.
      */
     boolean withinColdStartBudget(double now) {
       double capacity =
@@ -1081,7 +1275,7 @@
 
   // ---- Calls and attempts -------------------------------------------------------------------
 
-  /** A call that this controller owes an answer, or that stands. */
+  /** A call that is due a final answer, or that is established. */
   private static final class TrackedCall implements Comparable<TrackedCall> {
     final Call request;
     final CallClass callClass;
@@ -1092,19 +1286,33 @@
     int attemptsSent;
     int tandemsTried;
     Attempt currentAttempt;
+
+    /**
+     * The first attempt that may have taken effect although it was not answered; null if there is
+     * none.
+     */
     Attempt uncertainAttempt;
+
+    /** Whether the call only earns the worth of a late call, such as a redial. */
     boolean late;
+
     boolean established;
     boolean finished;
     boolean countedAsOffered;
     boolean overflowed;
 
-    /** What the call earns if it stands soon; a redial is mostly late. */
+    /**
+     * What the call earns if it is established soon; a late call, such as a redial, usually misses
+     * its aim.
+     */
     double value() {
       return callClass.worth() * (late ? callClass.lateWorth() : 1);
     }
 
-    /** Whether a set-up may go there, or anywhere, after one that may have run: none made twice. */
+    /**
+     * Whether the call may be sent to this exchange after an attempt that may have taken effect, so
+     * that no call is made twice; null asks for any exchange.
+     */
     boolean mayRepeatAt(double now, RemoteExchange exchange) {
       boolean permittedExchange =
           uncertainAttempt == null
@@ -1129,13 +1337,16 @@
     }
   }
 
-  /** One attempt of a call, through a first exchange to the destination. */
+  /** An attempt to set up a call, directly or through a first hop to the destination. */
   private static final class Attempt {
     final int number;
     final double sentAt;
     final RemoteExchange firstHop;
     final RemoteExchange destination;
+
+    /** The exchanges that the attempt passes: first hop and destination. */
     final List<RemoteExchange> exchanges;
+
     final TrackedCall call;
     boolean answered;
 
@@ -1164,7 +1375,7 @@
       exchanges.forEach(remote -> remote.outstanding.remove(this));
     }
 
-    /** The circuits toward the first exchange are free again. */
+    /** Ends the attempt: its circuits toward the first hop are free again. */
     void close() {
       removeFromOutstanding();
       if (firstHop == destination && !call.request.transit()) {
