--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -164,7 +164,10 @@
 
   // ---- State --------------------------------------------------------------------------------
 
+  /** Label of the timer of the next computation; labels of call timers follow these two. */
   private static final long RECOMPUTE_TIMER = 0;
+
+  /** Label of the timer of the next heartbeat. */
   private static final long HEARTBEAT_TIMER = 1;
 
   private final Settings settings;
@@ -1018,7 +1021,7 @@
     /** Times of the set-ups sent within the cold-start window. */
     final ArrayDeque<Double> sendTimes = new ArrayDeque<>();
 
-    /** Attempts without an answer that were sent to this exchange or through a tandem to it. */
+    /** Attempts without an answer to this exchange or through it. */
     final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
 
     /** First hops that carried a call here and have not turned one back since. */
@@ -1287,10 +1290,7 @@
     int tandemsTried;
     Attempt currentAttempt;
 
-    /**
-     * The first attempt that may have taken effect although it was not answered; null if there is
-     * none.
-     */
+    /** The first attempt that may have taken effect although it failed; null if there is none. */
     Attempt uncertainAttempt;
 
     /** Whether the call only earns the worth of a late call, such as a redial. */
