--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -12,7 +12,7 @@
 import coveladder.net.Sockets;
 import coveladder.sipfront.SipFront;
 import coveladder.store.DiskStore;
-import coveladder.store.SteadyClock;
+import coveladder.store.PersistentMonotonicClock;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
@@ -52,7 +52,7 @@
   private volatile boolean handedOver;
 
   /** Opens what is kept, binds everything and begins to take calls. */
-  public Daemon(Settings settings) throws IOException, DiskStore.Unusable {
+  public Daemon(Settings settings) throws IOException, DiskStore.UnusableFolderException {
     this.settings = settings;
     loop = new EventLoop("controller", System.nanoTime(), QUEUE);
     store = settings.state() == null ? null : openStore(settings.state().folder());
@@ -103,7 +103,7 @@
     LOG.info("controller runs", kv("domain", settings.domain()), kv("port", node.port()));
   }
 
-  private DiskStore openStore(Path folder) throws IOException, DiskStore.Unusable {
+  private DiskStore openStore(Path folder) throws IOException, DiskStore.UnusableFolderException {
     long begun = System.nanoTime();
     DiskStore opened = new DiskStore(folder, loop::execute);
     long millis = (System.nanoTime() - begun) / 1_000_000;
@@ -117,17 +117,17 @@
   }
 
   private SipFront.Keeping keeping(Settings from) throws IOException {
-    SteadyClock clock = SteadyClock.of(from.state().folder());
+    PersistentMonotonicClock clock = PersistentMonotonicClock.open(from.state().folder());
     return new SipFront.Keeping(store, from.state().budget(), clock);
   }
 
   private void storeGauges() {
     Gauge.builder("coveladder.state.calls", front, f -> f.writeAhead().size()).register(meters);
     Gauge.builder("coveladder.state.unkept", front, f -> f.writeAhead().unkept()).register(meters);
-    Gauge.builder("coveladder.state.waiting", store, DiskStore::waiting).register(meters);
-    Gauge.builder("coveladder.state.commits", store, DiskStore::commits).register(meters);
-    Gauge.builder("coveladder.state.failures", store, DiskStore::failures).register(meters);
-    Gauge.builder("coveladder.state.failing", store, s -> s.failure().isEmpty() ? 0 : 1)
+    Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges).register(meters);
+    Gauge.builder("coveladder.state.commits", store, DiskStore::commitCount).register(meters);
+    Gauge.builder("coveladder.state.failures", store, DiskStore::failureCount).register(meters);
+    Gauge.builder("coveladder.state.failing", store, s -> s.failureReason().isEmpty() ? 0 : 1)
         .register(meters);
     Gauge.builder("coveladder.recovery.open", front, f -> f.recovery().done() ? 0 : 1)
         .register(meters);
--- a/app/src/main/java/coveladder/app/Main.java
+++ b/app/src/main/java/coveladder/app/Main.java
@@ -44,7 +44,7 @@
   private static int explain(Exception e, CommandLine line, CommandLine.ParseResult parsed)
       throws Exception {
     if (e instanceof SettingsFile.Unusable
-        || e instanceof DiskStore.Unusable
+        || e instanceof DiskStore.UnusableFolderException
         || e instanceof IOException) {
       boolean missing = e instanceof java.nio.file.NoSuchFileException;
       line.getErr().println(missing ? "no such file: " + e.getMessage() : e.getMessage());
--- a/app/src/main/java/coveladder/app/StateCommand.java
+++ b/app/src/main/java/coveladder/app/StateCommand.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import coveladder.core.recovery.SavedCall;
 import coveladder.store.DiskStore;
-import coveladder.store.StateView;
+import coveladder.store.StateFolderAdmin;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -39,8 +39,9 @@
   }
 
   @Command(name = "list", description = "One line for each call that is kept.")
-  int list(@Parameters(paramLabel = "FOLDER") Path folder) throws IOException, DiskStore.Unusable {
-    StateView.Contents contents = StateView.read(folder);
+  int list(@Parameters(paramLabel = "FOLDER") Path folder)
+      throws IOException, DiskStore.UnusableFolderException {
+    StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
     for (SavedCall saved : contents.calls()) {
       out()
           .printf(
@@ -51,24 +52,24 @@
     return 0;
   }
 
-  private static String summary(StateView.Contents contents) {
+  private static String summary(StateFolderAdmin.Contents contents) {
     Map<SavedCall.Phase, Integer> counts = new TreeMap<>();
     contents.calls().forEach(saved -> counts.merge(saved.phase(), 1, Integer::sum));
     return contents.calls().size()
         + " calls "
         + counts
         + ", "
-        + contents.damaged().size()
+        + contents.damagedRecords().size()
         + " damaged, "
-        + contents.octets()
+        + contents.sizeBytes()
         + " octets"
         + (contents.behind() ? "; BEHIND: calls go or went on unkept" : "");
   }
 
   @Command(name = "show", description = "All that is kept of one call, its messages included.")
   int show(@Parameters(paramLabel = "FOLDER") Path folder, @Parameters(paramLabel = "ID") String id)
-      throws IOException, DiskStore.Unusable {
-    for (SavedCall saved : StateView.read(folder).calls()) {
+      throws IOException, DiskStore.UnusableFolderException {
+    for (SavedCall saved : StateFolderAdmin.read(folder).calls()) {
       if (saved.id().equals(id)) {
         show(saved);
         return 0;
@@ -105,25 +106,25 @@
 
   @Command(name = "verify", description = "Read every record; status 1 if any is damaged.")
   int verify(@Parameters(paramLabel = "FOLDER") Path folder)
-      throws IOException, DiskStore.Unusable {
-    StateView.Contents contents = StateView.read(folder);
-    contents.damaged().forEach(out()::println);
+      throws IOException, DiskStore.UnusableFolderException {
+    StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
+    contents.damagedRecords().forEach(out()::println);
     out().println(summary(contents));
-    return contents.damaged().isEmpty() && !contents.behind() ? 0 : 1;
+    return contents.damagedRecords().isEmpty() && !contents.behind() ? 0 : 1;
   }
 
   @Command(name = "compact", description = "Make the file small; the folder must be free.")
   int compact(@Parameters(paramLabel = "FOLDER") Path folder)
-      throws IOException, DiskStore.Unusable {
-    long[] sizes = StateView.compact(folder);
+      throws IOException, DiskStore.UnusableFolderException {
+    long[] sizes = StateFolderAdmin.compact(folder);
     out().printf("%d octets, %d before%n", sizes[1], sizes[0]);
     return 0;
   }
 
   @Command(name = "export", description = "One JSON line for each call, messages in Base64.")
   int export(@Parameters(paramLabel = "FOLDER") Path folder)
-      throws IOException, DiskStore.Unusable {
-    for (SavedCall saved : StateView.read(folder).calls()) {
+      throws IOException, DiskStore.UnusableFolderException {
+    for (SavedCall saved : StateFolderAdmin.read(folder).calls()) {
       out().println(json(saved));
     }
     return 0;
--- a/app/src/main/java/coveladder/app/TakeOver.java
+++ b/app/src/main/java/coveladder/app/TakeOver.java
@@ -25,7 +25,7 @@
   private TakeOver() {}
 
   /** Starts a controller in place of the one that has its state folder, if there is one. */
-  static Daemon from(Settings settings) throws IOException, DiskStore.Unusable {
+  static Daemon from(Settings settings) throws IOException, DiskStore.UnusableFolderException {
     warmUp(settings);
     long released = askToLetGo(settings);
     if (released == 0) {
@@ -42,7 +42,8 @@
    * Runs a controller for a moment, on other ports and an empty folder, so that what has to be
    * loaded is there before the other one lets go.
    */
-  private static void warmUp(Settings settings) throws IOException, DiskStore.Unusable {
+  private static void warmUp(Settings settings)
+      throws IOException, DiskStore.UnusableFolderException {
     Path folder = Files.createTempDirectory("coveladder-warm");
     LogLevel.set("error");
     try (DatagramSocket nobody = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -74,12 +75,13 @@
   }
 
   /** The other may still be closing its file: tries until the folder is free. */
-  private static Daemon start(Settings settings) throws IOException, DiskStore.Unusable {
+  private static Daemon start(Settings settings)
+      throws IOException, DiskStore.UnusableFolderException {
     long until = System.nanoTime() + WITHIN;
     while (true) {
       try {
         return new Daemon(settings);
-      } catch (DiskStore.Unusable e) {
+      } catch (DiskStore.UnusableFolderException e) {
         if (System.nanoTime() > until) {
           throw e;
         }
--- a/app/src/test/java/coveladder/app/DaemonTest.java
+++ b/app/src/test/java/coveladder/app/DaemonTest.java
@@ -7,7 +7,7 @@
 
 import coveladder.core.recovery.SavedCall.Phase;
 import coveladder.store.DiskStore;
-import coveladder.store.StateView;
+import coveladder.store.StateFolderAdmin;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -208,12 +208,12 @@
   void aCallIsHandedOverAndTheNextControllerAsksAfterIt() throws Exception {
     again();
     String callId = stand();
-    assertThrows(DiskStore.Unusable.class, () -> new Daemon(keeping()));
+    assertThrows(DiskStore.UnusableFolderException.class, () -> new Daemon(keeping()));
     List<String> told = handOver(folder);
     assertEquals("draining", told.get(0));
     assertTrue(told.get(1).startsWith("released "), told.toString());
     assertNull(ControlSocket.Line.give(folder, "hand-over"));
-    StateView.Contents contents = StateView.read(folder);
+    StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
     assertEquals(Phase.STANDS, contents.calls().get(0).phase());
     daemon.awaitEnd();
     daemon = TakeOver.from(keeping());
--- a/bench/src/main/java/coveladder/bench/RestartBench.java
+++ b/bench/src/main/java/coveladder/bench/RestartBench.java
@@ -81,7 +81,7 @@
     CompletableFuture<Boolean> done = new CompletableFuture<>();
     store.sync(done::complete);
     if (!done.get(60, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("the disk failed: " + store.failure());
+      throw new IllegalStateException("the disk failed: " + store.failureReason());
     }
   }
 
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -198,9 +198,9 @@
         System.out.printf(
             Locale.ROOT,
             "  %d commits, %d unkept %s%n",
-            store.commits(),
+            store.commitCount(),
             front.writeAhead().unkept(),
-            store.failure());
+            store.failureReason());
       }
       if (hold) {
         // Transactions last 64*T1; what is left then is what a standing call costs.
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -45,9 +45,9 @@
   private CallFile file;
   private volatile Runnable putAll = () -> {};
   private volatile boolean open = true;
-  private volatile String failure = "";
-  private volatile long commits;
-  private volatile long failures;
+  private volatile String failureReason = "";
+  private volatile long commitCount;
+  private volatile long failureCount;
   private long triedAt;
   private int tries;
   private volatile boolean beginning;
@@ -62,10 +62,10 @@
   private record Work(String id, SavedCall call, Consumer<Boolean> waits, int fresh) {}
 
   /** A folder that cannot be used; the message says why and what to do. */
-  public static final class Unusable extends Exception {
+  public static final class UnusableFolderException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unusable(String reason) {
+    UnusableFolderException(String reason) {
       super(reason);
     }
   }
@@ -75,7 +75,7 @@
    *
    * @param loop where those who wait for a sync are told
    */
-  public DiskStore(Path folder, Executor loop) throws IOException, Unusable {
+  public DiskStore(Path folder, Executor loop) throws IOException, UnusableFolderException {
     this(folder, loop, 5_000, CallFile.RETENTION, UnaryOperator.identity());
   }
 
@@ -87,7 +87,7 @@
    * @param names file names as the store is to use them
    */
   DiskStore(Path path, Executor loop, long retry, int retention, UnaryOperator<String> names)
-      throws IOException, Unusable {
+      throws IOException, UnusableFolderException {
     this.folder = new StateFolder(path);
     this.names = names;
     this.loop = loop;
@@ -95,7 +95,7 @@
     this.retention = retention;
     this.lock = folder.lock();
     if (lock == null) {
-      throw new Unusable(path + " is in use by another process; end that one first");
+      throw new UnusableFolderException(path + " is in use by another process; end that one first");
     }
     List<String> damaged = new ArrayList<>();
     boolean behind = folder.behind();
@@ -111,13 +111,13 @@
     writer.start();
   }
 
-  private CallFile openFile(List<String> damaged) throws IOException, Unusable {
+  private CallFile openFile(List<String> damaged) throws IOException, UnusableFolderException {
     boolean existed = folder.exists();
     try {
       return open(folder.file());
     } catch (MVStoreException e) {
       if (!existed) {
-        throw new Unusable(folder.path() + " cannot be written: " + e.getMessage());
+        throw new UnusableFolderException(folder.path() + " cannot be written: " + e.getMessage());
       }
       Path aside = folder.putAside();
       damaged.add(folder.file() + " could not be opened, now " + aside + ": " + e.getMessage());
@@ -191,10 +191,10 @@
   }
 
   private void write(List<Work> batch) {
-    if (!failure.isEmpty() && !beginning) {
+    if (!failureReason.isEmpty() && !beginning) {
       tryAnew();
     }
-    boolean safe = file != null && commit(batch) && failure.isEmpty();
+    boolean safe = file != null && commit(batch) && failureReason.isEmpty();
     for (Work work : batch) {
       if (work.waits() != null) {
         loop.execute(() -> work.waits().accept(safe));
@@ -219,7 +219,7 @@
         }
       }
       if (wanted && file.commit()) {
-        commits++;
+        commitCount++;
       }
       if (System.nanoTime() - tidiedAt > TIDY_EVERY) {
         tidiedAt = System.nanoTime();
@@ -237,11 +237,11 @@
 
   /** The first failure marks the folder; the marks of a folder that cannot be marked are logged. */
   private synchronized void failed(String why) {
-    if (!failure.isEmpty()) {
+    if (!failureReason.isEmpty()) {
       return;
     }
-    failure = why;
-    failures++;
+    failureReason = why;
+    failureCount++;
     LOG.error("calls are not kept: {}; they go on, and a new file is tried", why);
     try {
       folder.markBehind();
@@ -305,7 +305,7 @@
       folder.takeFresh();
       folder.markInStep();
       beginning = false;
-      failure = "";
+      failureReason = "";
       LOG.info("calls are kept again");
     } catch (IOException e) {
       LOG.warn("the new file for calls cannot be taken: {}", e.getMessage());
@@ -316,22 +316,22 @@
   // ---- Figures ------------------------------------------------------------------------------
 
   /** Why the disk fails; empty while it works. */
-  public String failure() {
-    return failure;
+  public String failureReason() {
+    return failureReason;
   }
 
   /** How often the disk began to fail. */
-  public long failures() {
-    return failures;
+  public long failureCount() {
+    return failureCount;
   }
 
   /** Commits so far; each made a group of changes safe. */
-  public long commits() {
-    return commits;
+  public long commitCount() {
+    return commitCount;
   }
 
   /** Changes that wait for the disk. */
-  public int waiting() {
+  public int pendingChanges() {
     return queue.size();
   }
 
@@ -344,7 +344,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    if (file != null && failure.isEmpty()) {
+    if (file != null && failureReason.isEmpty()) {
       file.close();
     } else if (file != null) {
       file.abandon();
--- a/store/src/main/java/coveladder/store/SteadyClock.java
+++ b/store/src/main/java/coveladder/store/PersistentMonotonicClock.java
@@ -12,22 +12,23 @@
  * the machine's own count of time, which lasts until it boots again, with the difference to the
  * wall clock as it was at first. After a boot the wall clock is asked anew.
  */
-public final class SteadyClock implements LongSupplier {
+public final class PersistentMonotonicClock implements LongSupplier {
   private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
   private static final double NANOS = 1e6;
 
   private final LongSupplier nanos;
   private final long difference;
 
-  private SteadyClock(LongSupplier nanos, long difference) {
+  private PersistentMonotonicClock(LongSupplier nanos, long difference) {
     this.nanos = nanos;
     this.difference = difference;
   }
 
   /** The clock of a state folder, which must exist. */
-  public static SteadyClock of(Path folder) throws IOException {
+  public static PersistentMonotonicClock open(Path folder) throws IOException {
     String boot = Files.exists(BOOT) ? Files.readString(BOOT).trim() : "";
-    return of(new StateFolder(folder).clock(), boot, System::nanoTime, System.currentTimeMillis());
+    return open(
+        new StateFolder(folder).clock(), boot, System::nanoTime, System.currentTimeMillis());
   }
 
   /**
@@ -37,14 +38,15 @@
    * @param nanos the machine's count of time, ns
    * @param wall the wall clock, ms since 1970
    */
-  static SteadyClock of(Path file, String boot, LongSupplier nanos, long wall) throws IOException {
+  static PersistentMonotonicClock open(Path file, String boot, LongSupplier nanos, long wall)
+      throws IOException {
     long now = Math.round(nanos.getAsLong() / NANOS);
     String[] kept = read(file).split(" ");
     if (!boot.isEmpty() && kept.length == 2 && kept[0].equals(boot)) {
-      return new SteadyClock(nanos, Long.parseLong(kept[1]));
+      return new PersistentMonotonicClock(nanos, Long.parseLong(kept[1]));
     }
     Files.writeString(file, boot + ' ' + (wall - now), StandardCharsets.UTF_8);
-    return new SteadyClock(nanos, wall - now);
+    return new PersistentMonotonicClock(nanos, wall - now);
   }
 
   /** The file's text; empty where there is none, or none that this program wrote. */
--- a/store/src/main/java/coveladder/store/StateView.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -15,24 +15,24 @@
  * A state folder as staff look at it. Reading takes a copy of the file, so that a running
  * controller is not disturbed; compacting needs the folder to be free.
  */
-public final class StateView {
+public final class StateFolderAdmin {
   private static final int COPIES = 5;
 
-  private StateView() {}
+  private StateFolderAdmin() {}
 
   /**
    * What is in a folder.
    *
    * @param calls calls that could be read
-   * @param damaged records that could not, with their reasons
+   * @param damagedRecords records that could not, with their reasons
    * @param behind whether calls go or went on unkept
-   * @param octets size of the file
+   * @param sizeBytes size of the file
    */
   public record Contents(
-      List<SavedCall> calls, List<String> damaged, boolean behind, long octets) {}
+      List<SavedCall> calls, List<String> damagedRecords, boolean behind, long sizeBytes) {}
 
   /** Reads a folder, in use or not. */
-  public static Contents read(Path path) throws IOException, DiskStore.Unusable {
+  public static Contents read(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
     if (!folder.exists()) {
       throw new NoSuchFileException(folder.file().toString());
@@ -47,7 +47,7 @@
 
   /** A file that is written while it is copied may come out broken: then it is copied again. */
   private static Contents read(StateFolder folder, Path copy)
-      throws IOException, DiskStore.Unusable {
+      throws IOException, DiskStore.UnusableFolderException {
     MVStoreException last = null;
     for (int i = 0; i < COPIES; i++) {
       Files.copy(folder.file(), copy, StandardCopyOption.REPLACE_EXISTING);
@@ -60,11 +60,12 @@
         last = e;
       }
     }
-    throw new DiskStore.Unusable(folder.file() + " cannot be read: " + last.getMessage());
+    throw new DiskStore.UnusableFolderException(
+        folder.file() + " cannot be read: " + last.getMessage());
   }
 
   /** Makes the file as small as can be; its sizes before and after, octets. */
-  public static long[] compact(Path path) throws IOException, DiskStore.Unusable {
+  public static long[] compact(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
     if (!folder.exists()) {
       throw new NoSuchFileException(folder.file().toString());
@@ -76,15 +77,17 @@
       file.copyTo(small);
       folder.takeFresh();
     } catch (MVStoreException e) {
-      throw new DiskStore.Unusable(folder.file() + " cannot be read: " + e.getMessage());
+      throw new DiskStore.UnusableFolderException(
+          folder.file() + " cannot be read: " + e.getMessage());
     }
     return new long[] {before, Files.size(folder.file())};
   }
 
-  private static FileChannel lock(StateFolder folder) throws IOException, DiskStore.Unusable {
+  private static FileChannel lock(StateFolder folder)
+      throws IOException, DiskStore.UnusableFolderException {
     FileChannel lock = folder.lock();
     if (lock == null) {
-      throw new DiskStore.Unusable(
+      throw new DiskStore.UnusableFolderException(
           folder.path() + " is in use by another process; compact it when that one has ended");
     }
     return lock;
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -56,8 +56,8 @@
       FaultyFiles.fault = fault;
       store.put(saved("b", Phase.STANDS, "leg"));
       assertFalse(sync(store));
-      assertEquals(1, store.failures());
-      assertFalse(store.failure().isEmpty());
+      assertEquals(1, store.failureCount());
+      assertFalse(store.failureReason().isEmpty());
     } finally {
       FaultyFiles.fault = "";
     }
@@ -91,7 +91,7 @@
       for (int i = 0; i < 2_000 && !again; i++) {
         again = sync(store);
       }
-      assertTrue(again, store.failure());
+      assertTrue(again, store.failureReason());
     } finally {
       FaultyFiles.fault = "";
     }
@@ -117,9 +117,9 @@
     }
     long size = Files.size(folder.resolve("calls.mv"));
     assertTrue(size < 30_000_000, "octets " + size);
-    long[] sizes = StateView.compact(folder);
+    long[] sizes = StateFolderAdmin.compact(folder);
     assertTrue(sizes[1] < 2_000_000, "octets " + sizes[1]);
-    assertEquals(300, StateView.read(folder).calls().size());
+    assertEquals(300, StateFolderAdmin.read(folder).calls().size());
   }
 
   @Test
@@ -127,26 +127,30 @@
     try (DiskStore store = open()) {
       store.put(saved("a", Phase.STANDS, "leg"));
       assertTrue(sync(store));
-      assertEquals(List.of(saved("a", Phase.STANDS, "leg")), StateView.read(folder).calls());
-      DiskStore.Unusable e =
-          assertThrows(DiskStore.Unusable.class, () -> StateView.compact(folder));
+      assertEquals(List.of(saved("a", Phase.STANDS, "leg")), StateFolderAdmin.read(folder).calls());
+      DiskStore.UnusableFolderException e =
+          assertThrows(
+              DiskStore.UnusableFolderException.class, () -> StateFolderAdmin.compact(folder));
       assertTrue(e.getMessage().contains("in use"), e.getMessage());
     }
-    StateView.compact(folder);
-    assertEquals(1, StateView.read(folder).calls().size());
+    StateFolderAdmin.compact(folder);
+    assertEquals(1, StateFolderAdmin.read(folder).calls().size());
   }
 
   @Test
   void theClockGoesOnThoughTheWallClockIsSetBack() throws Exception {
     Path file = folder.resolve("clock");
-    SteadyClock first = SteadyClock.of(file, "b-1", () -> 5_000_000_000L, 1_000_000);
+    PersistentMonotonicClock first =
+        PersistentMonotonicClock.open(file, "b-1", () -> 5_000_000_000L, 1_000_000);
     assertEquals(1_000_000, first.getAsLong());
-    SteadyClock next = SteadyClock.of(file, "b-1", () -> 7_000_000_000L, 400);
+    PersistentMonotonicClock next =
+        PersistentMonotonicClock.open(file, "b-1", () -> 7_000_000_000L, 400);
     assertEquals(1_002_000, next.getAsLong());
-    SteadyClock booted = SteadyClock.of(file, "b-2", () -> 1_000_000_000L, 2_000_000);
+    PersistentMonotonicClock booted =
+        PersistentMonotonicClock.open(file, "b-2", () -> 1_000_000_000L, 2_000_000);
     assertEquals(2_000_000, booted.getAsLong());
     Files.writeString(file, "nonsense");
-    assertEquals(500, SteadyClock.of(file, "b-2", () -> 0, 500).getAsLong());
+    assertEquals(500, PersistentMonotonicClock.open(file, "b-2", () -> 0, 500).getAsLong());
   }
 
   private static boolean sync(DiskStore store) throws Exception {
@@ -182,14 +186,15 @@
         store.put(saved("c" + i, Phase.STANDS, "leg"));
       }
       assertTrue(sync(store));
-      assertTrue(store.commits() < 500, "commits " + store.commits());
+      assertTrue(store.commitCount() < 500, "commits " + store.commitCount());
     }
   }
 
   @Test
   void aFolderInUseIsRefused() throws Exception {
     try (DiskStore store = open()) {
-      DiskStore.Unusable e = assertThrows(DiskStore.Unusable.class, this::open);
+      DiskStore.UnusableFolderException e =
+          assertThrows(DiskStore.UnusableFolderException.class, this::open);
       assertTrue(e.getMessage().contains("in use"), e.getMessage());
       assertTrue(sync(store));
     }
