--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -16,56 +16,56 @@
    * Space of blocks that a commit freed is used again after this, ms. Each commit is synced, so it
    * is enough that no commit takes so long.
    */
-  static final int RETENTION = 1_000;
+  static final int RETENTION_MILLIS = 1_000;
 
-  private static final String LIVES = "lives";
-  private static final int FILL_WANTED = 60;
-  private static final int MOVED_AT_A_TIME = 1 << 20;
+  private static final String OPEN_COUNT_KEY = "lives";
+  private static final int TARGET_FILL_PERCENT = 60;
+  private static final int MAX_COMPACTION_BYTES = 1 << 20;
 
   private final MVStore store;
   private final MVMap<String, byte[]> calls;
-  private final MVMap<String, Integer> about;
+  private final MVMap<String, Integer> metadata;
 
-  private CallFile(MVStore store, int retention) {
+  private CallFile(MVStore store, int retentionMillis) {
     this.store = store;
     this.calls = store.openMap("calls");
-    this.about = store.openMap("about");
-    store.setRetentionTime(retention);
+    this.metadata = store.openMap("about");
+    store.setRetentionTime(retentionMillis);
   }
 
   /** Counts one more opening of the file; how many that makes. */
-  int beginLife() {
-    int life = about.getOrDefault(LIVES, 0) + 1;
-    about.put(LIVES, life);
-    return life;
+  int incrementOpenCount() {
+    int openCount = metadata.getOrDefault(OPEN_COUNT_KEY, 0) + 1;
+    metadata.put(OPEN_COUNT_KEY, openCount);
+    return openCount;
   }
 
   /** Takes over how often the file in whose place this one is had been opened. */
-  void life(int count) {
-    about.put(LIVES, count);
+  void setOpenCount(int openCount) {
+    metadata.put(OPEN_COUNT_KEY, openCount);
   }
 
-  static CallFile open(String name) {
-    return open(name, RETENTION);
+  static CallFile open(String fileName) {
+    return open(fileName, RETENTION_MILLIS);
   }
 
   /** The same with another time until space is used again, ms. */
-  static CallFile open(String name, int retention) {
-    return new CallFile(builder(name).open(), retention);
+  static CallFile open(String fileName, int retentionMillis) {
+    return new CallFile(builder(fileName).open(), retentionMillis);
   }
 
   /** A new file that may take the place of the folder's own. */
-  static CallFile openFresh(StateFolder folder) throws IOException {
-    Files.deleteIfExists(folder.fresh());
-    return open(folder.fresh().toString());
+  static CallFile openNew(StateFolder folder) throws IOException {
+    Files.deleteIfExists(folder.newCallsFile());
+    return open(folder.newCallsFile().toString());
   }
 
-  static CallFile openToRead(String name) {
-    return new CallFile(builder(name).readOnly().open(), RETENTION);
+  static CallFile openReadOnly(String fileName) {
+    return new CallFile(builder(fileName).readOnly().open(), RETENTION_MILLIS);
   }
 
-  private static MVStore.Builder builder(String name) {
-    return new MVStore.Builder().fileName(name).autoCommitDisabled().autoCompactFillRate(0);
+  private static MVStore.Builder builder(String fileName) {
+    return new MVStore.Builder().fileName(fileName).autoCommitDisabled().autoCompactFillRate(0);
   }
 
   void put(String id, byte[] record) {
@@ -90,15 +90,15 @@
    * Moves some of what lives out of blocks that hold little, so that the file stays in proportion
    * to the calls that are kept however many come and go.
    */
-  void tidy() {
-    store.compact(FILL_WANTED, MOVED_AT_A_TIME);
+  void compact() {
+    store.compact(TARGET_FILL_PERCENT, MAX_COMPACTION_BYTES);
     commit();
   }
 
   /** Puts all records into another file. */
   void copyTo(CallFile other) {
     calls.forEach(other::put);
-    other.life(about.getOrDefault(LIVES, 0));
+    other.setOpenCount(metadata.getOrDefault(OPEN_COUNT_KEY, 0));
     other.commit();
   }
 
@@ -106,48 +106,52 @@
    * Reads all records, on all processors; one that cannot be used is told with its reason and left
    * out.
    */
-  List<SavedCall> readAll(BiConsumer<String, String> bad) {
-    List<Map.Entry<String, byte[]>> all = new ArrayList<>();
-    calls.forEach((id, record) -> all.add(Map.entry(id, record)));
-    List<Read> read = all.parallelStream().map(e -> Read.of(e.getKey(), e.getValue())).toList();
-    List<SavedCall> sound = new ArrayList<>(all.size());
-    for (Read one : read) {
-      if (one.saved() != null) {
-        sound.add(one.saved());
+  List<SavedCall> readAll(BiConsumer<String, String> onUnreadable) {
+    List<Map.Entry<String, byte[]>> entries = new ArrayList<>();
+    calls.forEach((id, record) -> entries.add(Map.entry(id, record)));
+    List<ReadResult> results =
+        entries.parallelStream()
+            .map(entry -> ReadResult.decode(entry.getKey(), entry.getValue()))
+            .toList();
+    List<SavedCall> readable = new ArrayList<>(entries.size());
+    for (ReadResult result : results) {
+      if (result.saved() != null) {
+        readable.add(result.saved());
       } else {
-        bad.accept(one.id(), one.reason());
+        onUnreadable.accept(result.id(), result.reason());
       }
     }
-    return sound;
+    return readable;
   }
 
   /** A record that was read, or why it could not be. */
-  private record Read(String id, SavedCall saved, String reason) {
-    static Read of(String id, byte[] record) {
+  private record ReadResult(String id, SavedCall saved, String reason) {
+    static ReadResult decode(String id, byte[] record) {
       try {
-        return new Read(id, RecordCodec.read(record), "");
-      } catch (RecordCodec.BadRecord e) {
-        return new Read(id, null, e.getMessage());
+        return new ReadResult(id, RecordCodec.decode(record), "");
+      } catch (RecordCodec.UnreadableRecordException e) {
+        return new ReadResult(id, null, e.getMessage());
       }
     }
   }
 
   /** Reads all records and takes the unusable ones out, written down with their reasons. */
-  List<SavedCall> readAll(StateFolder folder, List<String> damaged) throws IOException {
-    List<String> bad = new ArrayList<>();
+  List<SavedCall> readAllAndQuarantine(StateFolder folder, List<String> damaged)
+      throws IOException {
+    List<String> unreadableIds = new ArrayList<>();
     List<String> reasons = new ArrayList<>();
-    List<SavedCall> read =
+    List<SavedCall> readable =
         readAll(
             (id, reason) -> {
-              bad.add(id);
+              unreadableIds.add(id);
               reasons.add("record of call " + id + ": " + reason);
             });
-    for (int i = 0; i < bad.size(); i++) {
-      folder.setAside(reasons.get(i), calls.get(bad.get(i)));
-      calls.remove(bad.get(i));
+    for (int i = 0; i < unreadableIds.size(); i++) {
+      folder.quarantineRecord(reasons.get(i), calls.get(unreadableIds.get(i)));
+      calls.remove(unreadableIds.get(i));
     }
     damaged.addAll(reasons);
-    return read;
+    return readable;
   }
 
   @Override
@@ -156,7 +160,7 @@
   }
 
   /** Closes without writing anything more. */
-  void abandon() {
+  void closeWithoutWriting() {
     store.closeImmediately();
   }
 }
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -28,38 +28,39 @@
 public final class DiskStore implements CallStore, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DiskStore.class);
   private static final int CAUGHT_UP = -1;
-  private static final int BATCH = 4_096;
-  private static final int QUEUE = 100_000;
-  private static final long CLOSE_WITHIN = 10_000;
-  private static final long TIDY_EVERY = 1_000_000_000;
+  private static final int MAX_BATCH_SIZE = 4_096;
+  private static final int QUEUE_CAPACITY = 100_000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 10_000;
+  private static final long COMPACTION_INTERVAL_NANOS = 1_000_000_000;
 
   private final StateFolder folder;
-  private final UnaryOperator<String> names;
-  private final Executor loop;
-  private final long retry;
-  private final int retention;
+  private final UnaryOperator<String> fileNameMapper;
+  private final Executor callbackExecutor;
+  private final long retryIntervalMillis;
+  private final int retentionMillis;
   private final Found found;
-  private final BlockingQueue<Work> queue = new ArrayBlockingQueue<>(QUEUE);
-  private final Thread writer = new Thread(this::write, "store");
+  private final BlockingQueue<WriteRequest> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+  private final Thread writer = new Thread(this::runWriter, "store");
   private final FileChannel lock;
-  private CallFile file;
-  private volatile Runnable putAll = () -> {};
-  private volatile boolean open = true;
+  private CallFile callFile;
+  private volatile Runnable rewriteAllCalls = () -> {};
+  private volatile boolean running = true;
   private volatile String failureReason = "";
   private volatile long commitCount;
   private volatile long failureCount;
-  private long triedAt;
-  private int tries;
-  private volatile boolean beginning;
-  private long tidiedAt;
+  private long lastAttemptNanos;
+  private int rewriteAttempts;
+  private volatile boolean rewriting;
+  private long lastCompactionNanos;
 
   /**
    * A change, or somebody who waits for all changes before, or the word that all was put again.
    *
-   * @param fresh which try to begin anew all was put again for; 0: none, -1: none, but all that was
-   *     found behind has been set right
+   * @param rewriteAttempt which try to begin anew all was put again for; 0: none, -1: none, but all
+   *     that was found behind has been set right
    */
-  private record Work(String id, SavedCall call, Consumer<Boolean> waits, int fresh) {}
+  private record WriteRequest(
+      String id, SavedCall call, Consumer<Boolean> onSynced, int rewriteAttempt) {}
 
   /** A folder that cannot be used; the message says why and what to do. */
   public static final class UnusableFolderException extends Exception {
@@ -73,60 +74,68 @@
   /**
    * Opens a folder, which is made if need be, and reads all that it holds.
    *
-   * @param loop where those who wait for a sync are told
+   * @param callbackExecutor where those who wait for a sync are told
    */
-  public DiskStore(Path folder, Executor loop) throws IOException, UnusableFolderException {
-    this(folder, loop, 5_000, CallFile.RETENTION, UnaryOperator.identity());
+  public DiskStore(Path folder, Executor callbackExecutor)
+      throws IOException, UnusableFolderException {
+    this(folder, callbackExecutor, 5_000, CallFile.RETENTION_MILLIS, UnaryOperator.identity());
   }
 
   /**
    * Opens a folder.
    *
-   * @param retry time between tries to begin anew after a failure, ms
-   * @param retention time until space in the file is used again, ms
-   * @param names file names as the store is to use them
+   * @param retryIntervalMillis time between tries to begin anew after a failure, ms
+   * @param retentionMillis time until space in the file is used again, ms
+   * @param fileNameMapper file names as the store is to use them
    */
-  DiskStore(Path path, Executor loop, long retry, int retention, UnaryOperator<String> names)
+  DiskStore(
+      Path path,
+      Executor callbackExecutor,
+      long retryIntervalMillis,
+      int retentionMillis,
+      UnaryOperator<String> fileNameMapper)
       throws IOException, UnusableFolderException {
     this.folder = new StateFolder(path);
-    this.names = names;
-    this.loop = loop;
-    this.retry = retry;
-    this.retention = retention;
-    this.lock = folder.lock();
+    this.fileNameMapper = fileNameMapper;
+    this.callbackExecutor = callbackExecutor;
+    this.retryIntervalMillis = retryIntervalMillis;
+    this.retentionMillis = retentionMillis;
+    this.lock = folder.tryLock();
     if (lock == null) {
       throw new UnusableFolderException(path + " is in use by another process; end that one first");
     }
     List<String> damaged = new ArrayList<>();
-    boolean behind = folder.behind();
-    this.file = openFile(damaged);
-    List<SavedCall> calls = file.readAll(folder, damaged);
-    int life = file.beginLife();
-    file.commit();
+    boolean behind = folder.isBehind();
+    this.callFile = openOrReplaceCallFile(damaged);
+    List<SavedCall> calls = callFile.readAllAndQuarantine(folder, damaged);
+    int openCount = callFile.incrementOpenCount();
+    callFile.commit();
     if (!behind) {
       folder.markInStep();
     }
-    this.found = new Found(List.copyOf(calls), List.copyOf(damaged), behind, life);
+    this.found = new Found(List.copyOf(calls), List.copyOf(damaged), behind, openCount);
     writer.setDaemon(true);
     writer.start();
   }
 
-  private CallFile openFile(List<String> damaged) throws IOException, UnusableFolderException {
-    boolean existed = folder.exists();
+  private CallFile openOrReplaceCallFile(List<String> damaged)
+      throws IOException, UnusableFolderException {
+    boolean existed = folder.hasCallsFile();
     try {
-      return open(folder.file());
+      return openCallFile(folder.callsFile());
     } catch (MVStoreException e) {
       if (!existed) {
         throw new UnusableFolderException(folder.path() + " cannot be written: " + e.getMessage());
       }
-      Path aside = folder.putAside();
-      damaged.add(folder.file() + " could not be opened, now " + aside + ": " + e.getMessage());
-      return open(folder.file());
+      Path quarantined = folder.quarantineCallsFile();
+      damaged.add(
+          folder.callsFile() + " could not be opened, now " + quarantined + ": " + e.getMessage());
+      return openCallFile(folder.callsFile());
     }
   }
 
-  private CallFile open(Path path) {
-    return CallFile.open(names.apply(path.toString()), retention);
+  private CallFile openCallFile(Path path) {
+    return CallFile.open(fileNameMapper.apply(path.toString()), retentionMillis);
   }
 
   @Override
@@ -135,100 +144,102 @@
   }
 
   @Override
-  public void begunAnew(Runnable all) {
-    putAll = all;
+  public void begunAnew(Runnable putAll) {
+    rewriteAllCalls = putAll;
   }
 
   @Override
   public void caughtUp() {
-    enqueue(new Work(null, null, null, CAUGHT_UP));
+    enqueue(new WriteRequest(null, null, null, CAUGHT_UP));
   }
 
   @Override
   public void put(SavedCall call) {
-    enqueue(new Work(call.id(), call, null, 0));
+    enqueue(new WriteRequest(call.id(), call, null, 0));
   }
 
   @Override
   public void remove(String id) {
-    enqueue(new Work(id, null, null, 0));
+    enqueue(new WriteRequest(id, null, null, 0));
   }
 
   @Override
   public void sync(Consumer<Boolean> done) {
-    enqueue(new Work(null, null, done, 0));
+    enqueue(new WriteRequest(null, null, done, 0));
   }
 
   /** A queue that is full counts as a disk that fails: calls go on, and the store says so. */
-  private boolean enqueue(Work work) {
-    boolean taken = queue.offer(work);
-    if (!taken) {
-      failed("more than " + QUEUE + " changes wait for the disk");
-      if (work.waits() != null) {
-        loop.execute(() -> work.waits().accept(false));
+  private boolean enqueue(WriteRequest request) {
+    boolean accepted = queue.offer(request);
+    if (!accepted) {
+      recordFailure("more than " + QUEUE_CAPACITY + " changes wait for the disk");
+      if (request.onSynced() != null) {
+        callbackExecutor.execute(() -> request.onSynced().accept(false));
       }
     }
-    return taken;
+    return accepted;
   }
 
   // ---- The writer ---------------------------------------------------------------------------
 
-  private void write() {
-    List<Work> batch = new ArrayList<>(BATCH);
-    while (open || !queue.isEmpty()) {
+  private void runWriter() {
+    List<WriteRequest> batch = new ArrayList<>(MAX_BATCH_SIZE);
+    while (running || !queue.isEmpty()) {
       try {
-        Work first = queue.poll(50, TimeUnit.MILLISECONDS);
+        WriteRequest first = queue.poll(50, TimeUnit.MILLISECONDS);
         if (first != null) {
           batch.add(first);
-          queue.drainTo(batch, BATCH - 1);
+          queue.drainTo(batch, MAX_BATCH_SIZE - 1);
         }
-        write(batch);
+        processBatch(batch);
         batch.clear();
       } catch (InterruptedException e) {
-        open = false;
+        running = false;
       }
     }
   }
 
-  private void write(List<Work> batch) {
-    if (!failureReason.isEmpty() && !beginning) {
-      tryAnew();
+  private void processBatch(List<WriteRequest> batch) {
+    if (!failureReason.isEmpty() && !rewriting) {
+      tryNewCallFile();
     }
-    boolean safe = file != null && commit(batch) && failureReason.isEmpty();
-    for (Work work : batch) {
-      if (work.waits() != null) {
-        loop.execute(() -> work.waits().accept(safe));
-      } else if (work.fresh() == CAUGHT_UP && safe) {
+    boolean durable = callFile != null && commit(batch) && failureReason.isEmpty();
+    for (WriteRequest request : batch) {
+      if (request.onSynced() != null) {
+        callbackExecutor.execute(() -> request.onSynced().accept(durable));
+      } else if (request.rewriteAttempt() == CAUGHT_UP && durable) {
         markInStep();
-      } else if (work.fresh() == tries && work.fresh() > 0 && file != null) {
-        inStepAgain();
+      } else if (request.rewriteAttempt() == rewriteAttempts
+          && request.rewriteAttempt() > 0
+          && callFile != null) {
+        installRewrittenFile();
       }
     }
   }
 
   /** Changes that nobody waits for are committed with the next that somebody does, or when idle. */
-  private boolean commit(List<Work> batch) {
-    boolean wanted = batch.isEmpty();
+  private boolean commit(List<WriteRequest> batch) {
+    boolean commitNeeded = batch.isEmpty();
     try {
-      for (Work work : batch) {
-        wanted |= work.waits() != null || work.fresh() != 0;
-        if (work.call() != null) {
-          file.put(work.id(), RecordCodec.write(work.call()));
-        } else if (work.id() != null) {
-          file.remove(work.id());
+      for (WriteRequest request : batch) {
+        commitNeeded |= request.onSynced() != null || request.rewriteAttempt() != 0;
+        if (request.call() != null) {
+          callFile.put(request.id(), RecordCodec.encode(request.call()));
+        } else if (request.id() != null) {
+          callFile.remove(request.id());
         }
       }
-      if (wanted && file.commit()) {
+      if (commitNeeded && callFile.commit()) {
         commitCount++;
       }
-      if (System.nanoTime() - tidiedAt > TIDY_EVERY) {
-        tidiedAt = System.nanoTime();
-        file.tidy();
+      if (System.nanoTime() - lastCompactionNanos > COMPACTION_INTERVAL_NANOS) {
+        lastCompactionNanos = System.nanoTime();
+        callFile.compact();
       }
       return true;
     } catch (MVStoreException e) {
-      failed(e.getMessage());
-      letGo();
+      recordFailure(e.getMessage());
+      abandonCallFile();
       return false;
     }
   }
@@ -236,13 +247,13 @@
   // ---- Failure ------------------------------------------------------------------------------
 
   /** The first failure marks the folder; the marks of a folder that cannot be marked are logged. */
-  private synchronized void failed(String why) {
+  private synchronized void recordFailure(String reason) {
     if (!failureReason.isEmpty()) {
       return;
     }
-    failureReason = why;
+    failureReason = reason;
     failureCount++;
-    LOG.error("calls are not kept: {}; they go on, and a new file is tried", why);
+    LOG.error("calls are not kept: {}; they go on, and a new file is tried", reason);
     try {
       folder.markBehind();
     } catch (IOException e) {
@@ -253,41 +264,41 @@
     }
   }
 
-  private void letGo() {
-    beginning = false;
-    if (file != null) {
-      file.abandon();
-      file = null;
+  private void abandonCallFile() {
+    rewriting = false;
+    if (callFile != null) {
+      callFile.closeWithoutWriting();
+      callFile = null;
     }
-    triedAt = System.nanoTime();
+    lastAttemptNanos = System.nanoTime();
   }
 
   /** Begins a new file beside the failed one; the controller is asked to put everything again. */
-  private void tryAnew() {
-    if (file != null) {
-      letGo();
+  private void tryNewCallFile() {
+    if (callFile != null) {
+      abandonCallFile();
     }
-    if (System.nanoTime() - triedAt < retry * 1_000_000 || !open) {
+    if (System.nanoTime() - lastAttemptNanos < retryIntervalMillis * 1_000_000 || !running) {
       return;
     }
-    triedAt = System.nanoTime();
+    lastAttemptNanos = System.nanoTime();
     try {
-      Files.deleteIfExists(folder.fresh());
-      file = open(folder.fresh());
-      file.life(found.life());
-      beginning = true;
-      tries++;
-      int own = tries;
-      loop.execute(() -> putAgain(own));
+      Files.deleteIfExists(folder.newCallsFile());
+      callFile = openCallFile(folder.newCallsFile());
+      callFile.setOpenCount(found.life());
+      rewriting = true;
+      rewriteAttempts++;
+      int attempt = rewriteAttempts;
+      callbackExecutor.execute(() -> rewriteCalls(attempt));
     } catch (MVStoreException | IOException e) {
       LOG.warn("a new file for calls cannot be begun: {}", e.getMessage());
     }
   }
 
-  private void putAgain(int own) {
-    putAll.run();
-    if (!enqueue(new Work(null, null, null, own))) {
-      beginning = false;
+  private void rewriteCalls(int attempt) {
+    rewriteAllCalls.run();
+    if (!enqueue(new WriteRequest(null, null, null, attempt))) {
+      rewriting = false;
     }
   }
 
@@ -295,21 +306,21 @@
     try {
       folder.markInStep();
     } catch (IOException e) {
-      failed(e.getMessage());
+      recordFailure(e.getMessage());
     }
   }
 
   /** All that is kept is in the new file, and safe: it takes the place of the failed one. */
-  private void inStepAgain() {
+  private void installRewrittenFile() {
     try {
-      folder.takeFresh();
+      folder.installNewCallsFile();
       folder.markInStep();
-      beginning = false;
+      rewriting = false;
       failureReason = "";
       LOG.info("calls are kept again");
     } catch (IOException e) {
       LOG.warn("the new file for calls cannot be taken: {}", e.getMessage());
-      letGo();
+      abandonCallFile();
     }
   }
 
@@ -338,16 +349,16 @@
   /** Writes all that waits and closes the file. */
   @Override
   public void close() {
-    open = false;
+    running = false;
     try {
-      writer.join(CLOSE_WITHIN);
+      writer.join(CLOSE_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    if (file != null && failureReason.isEmpty()) {
-      file.close();
-    } else if (file != null) {
-      file.abandon();
+    if (callFile != null && failureReason.isEmpty()) {
+      callFile.close();
+    } else if (callFile != null) {
+      callFile.closeWithoutWriting();
     }
     try {
       lock.close();
--- a/store/src/main/java/coveladder/store/RecordCodec.java
+++ b/store/src/main/java/coveladder/store/RecordCodec.java
@@ -13,20 +13,20 @@
   /** The version that this program writes, and the newest that it reads. */
   static final int VERSION = 1;
 
-  private static final int CHECK = 4;
+  private static final int CHECKSUM_BYTES = 4;
 
   private RecordCodec() {}
 
   /** A record that cannot be used; the message says why. */
-  static final class BadRecord extends Exception {
+  static final class UnreadableRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadRecord(String reason) {
+    UnreadableRecordException(String reason) {
       super(reason);
     }
   }
 
-  static byte[] write(SavedCall saved) {
+  static byte[] encode(SavedCall saved) {
     Call call = saved.call();
     byte[] body =
         SavedCallRecord.newBuilder()
@@ -49,30 +49,34 @@
             .setDeadline(saved.deadline())
             .build()
             .toByteArray();
-    return ByteBuffer.allocate(CHECK + body.length).putInt(check(body, 0)).put(body).array();
+    return ByteBuffer.allocate(CHECKSUM_BYTES + body.length)
+        .putInt(checksum(body, 0))
+        .put(body)
+        .array();
   }
 
-  private static int check(byte[] octets, int from) {
-    CRC32C check = new CRC32C();
-    check.update(octets, from, octets.length - from);
-    return (int) check.getValue();
+  private static int checksum(byte[] bytes, int from) {
+    CRC32C crc = new CRC32C();
+    crc.update(bytes, from, bytes.length - from);
+    return (int) crc.getValue();
   }
 
-  static SavedCall read(byte[] octets) throws BadRecord {
-    if (octets.length < CHECK || ByteBuffer.wrap(octets).getInt() != check(octets, CHECK)) {
-      throw new BadRecord("its check does not fit: " + octets.length + " octets");
+  static SavedCall decode(byte[] encoded) throws UnreadableRecordException {
+    if (encoded.length < CHECKSUM_BYTES
+        || ByteBuffer.wrap(encoded).getInt() != checksum(encoded, CHECKSUM_BYTES)) {
+      throw new UnreadableRecordException("its check does not fit: " + encoded.length + " octets");
     }
     try {
-      int length = octets.length - CHECK;
-      return read(SavedCallRecord.parser().parseFrom(octets, CHECK, length));
+      int length = encoded.length - CHECKSUM_BYTES;
+      return decode(SavedCallRecord.parser().parseFrom(encoded, CHECKSUM_BYTES, length));
     } catch (InvalidProtocolBufferException e) {
-      throw new BadRecord("it is no record: " + e.getMessage());
+      throw new UnreadableRecordException("it is no record: " + e.getMessage());
     }
   }
 
-  private static SavedCall read(SavedCallRecord record) throws BadRecord {
+  private static SavedCall decode(SavedCallRecord record) throws UnreadableRecordException {
     if (record.getVersion() > VERSION) {
-      throw new BadRecord(
+      throw new UnreadableRecordException(
           "it is of version " + record.getVersion() + ", this program reads up to " + VERSION);
     }
     SavedCall.Phase phase =
@@ -80,7 +84,7 @@
           case SETTING_UP -> SavedCall.Phase.SETTING_UP;
           case STANDS -> SavedCall.Phase.STANDS;
           case ANSWERED -> SavedCall.Phase.ANSWERED;
-          default -> throw new BadRecord("its phase is unknown");
+          default -> throw new UnreadableRecordException("its phase is unknown");
         };
     Call call =
         new Call(
--- a/store/src/main/java/coveladder/store/StateFolder.java
+++ b/store/src/main/java/coveladder/store/StateFolder.java
@@ -17,11 +17,11 @@
  * too; {@code set-aside.txt} holds records that could not be read, {@code clock} the steady clock.
  */
 final class StateFolder {
-  private static final String FILE = "calls.mv";
-  private static final String FRESH = "calls.mv.new";
-  private static final String IN_STEP = "in-step";
-  private static final String SET_ASIDE = "set-aside.txt";
-  private static final long SET_ASIDE_MOST = 64L << 20;
+  private static final String CALLS_FILE = "calls.mv";
+  private static final String NEW_CALLS_FILE = "calls.mv.new";
+  private static final String IN_STEP_MARKER = "in-step";
+  private static final String QUARANTINE_FILE = "set-aside.txt";
+  private static final long MAX_QUARANTINE_BYTES = 64L << 20;
 
   private final Path folder;
 
@@ -37,14 +37,14 @@
    * Takes the folder for this process; null where another has it. The file of calls alone would not
    * do: it is let go of when it fails.
    */
-  FileChannel lock() throws IOException {
+  FileChannel tryLock() throws IOException {
     if (!Files.isDirectory(folder)) {
       Files.createDirectories(folder);
       Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
     }
-    Path file = folder.resolve("lock");
+    Path lockFile = folder.resolve("lock");
     FileChannel channel =
-        FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       if (channel.tryLock() != null) {
         return channel;
@@ -56,67 +56,67 @@
     return null;
   }
 
-  Path file() {
-    return folder.resolve(FILE);
+  Path callsFile() {
+    return folder.resolve(CALLS_FILE);
   }
 
   /** Where a store that begins anew is written before it takes the place of the failed one. */
-  Path fresh() {
-    return folder.resolve(FRESH);
+  Path newCallsFile() {
+    return folder.resolve(NEW_CALLS_FILE);
   }
 
-  Path clock() {
+  Path clockFile() {
     return folder.resolve("clock");
   }
 
-  boolean exists() {
-    return Files.exists(file());
+  boolean hasCallsFile() {
+    return Files.exists(callsFile());
   }
 
   /** Whether calls may have gone on unkept since the file was written last. */
-  boolean behind() {
-    return exists() && !Files.exists(folder.resolve(IN_STEP));
+  boolean isBehind() {
+    return hasCallsFile() && !Files.exists(folder.resolve(IN_STEP_MARKER));
   }
 
   void markInStep() throws IOException {
-    if (!Files.exists(folder.resolve(IN_STEP))) {
-      Files.createFile(folder.resolve(IN_STEP));
-      force(folder);
+    if (!Files.exists(folder.resolve(IN_STEP_MARKER))) {
+      Files.createFile(folder.resolve(IN_STEP_MARKER));
+      syncDirectory(folder);
     }
   }
 
   void markBehind() throws IOException {
-    Files.deleteIfExists(folder.resolve(IN_STEP));
-    force(folder);
+    Files.deleteIfExists(folder.resolve(IN_STEP_MARKER));
+    syncDirectory(folder);
   }
 
   /** A name in a folder is safe once the folder itself was synced. */
-  private static void force(Path folder) throws IOException {
-    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+  private static void syncDirectory(Path directory) throws IOException {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
   /** The store that began anew takes the place of the failed one. */
-  void takeFresh() throws IOException {
-    Files.move(fresh(), file(), StandardCopyOption.ATOMIC_MOVE);
-    force(folder);
+  void installNewCallsFile() throws IOException {
+    Files.move(newCallsFile(), callsFile(), StandardCopyOption.ATOMIC_MOVE);
+    syncDirectory(folder);
   }
 
   /** Puts a file aside that cannot be opened; its new place. */
-  Path putAside() throws IOException {
-    long changed = Files.getLastModifiedTime(file()).toMillis();
-    Path aside = folder.resolve(FILE + ".damaged-" + changed);
-    Files.move(file(), aside, StandardCopyOption.REPLACE_EXISTING);
-    return aside;
+  Path quarantineCallsFile() throws IOException {
+    long modifiedMillis = Files.getLastModifiedTime(callsFile()).toMillis();
+    Path quarantined = folder.resolve(CALLS_FILE + ".damaged-" + modifiedMillis);
+    Files.move(callsFile(), quarantined, StandardCopyOption.REPLACE_EXISTING);
+    return quarantined;
   }
 
   /** Writes a record that cannot be used to the file for those, up to a bound. */
-  void setAside(String reason, byte[] record) throws IOException {
-    Path file = folder.resolve(SET_ASIDE);
-    if (!Files.exists(file) || Files.size(file) < SET_ASIDE_MOST) {
+  void quarantineRecord(String reason, byte[] record) throws IOException {
+    Path quarantineFile = folder.resolve(QUARANTINE_FILE);
+    if (!Files.exists(quarantineFile) || Files.size(quarantineFile) < MAX_QUARANTINE_BYTES) {
       Files.writeString(
-          file,
+          quarantineFile,
           reason + ": " + Base64.getEncoder().encodeToString(record) + '\n',
           StandardCharsets.UTF_8,
           StandardOpenOption.CREATE,
--- a/store/src/main/java/coveladder/store/StateFolderAdmin.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -16,7 +16,7 @@
  * controller is not disturbed; compacting needs the folder to be free.
  */
 public final class StateFolderAdmin {
-  private static final int COPIES = 5;
+  private static final int MAX_COPY_ATTEMPTS = 5;
 
   private StateFolderAdmin() {}
 
@@ -34,8 +34,8 @@
   /** Reads a folder, in use or not. */
   public static Contents read(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
-    if (!folder.exists()) {
-      throw new NoSuchFileException(folder.file().toString());
+    if (!folder.hasCallsFile()) {
+      throw new NoSuchFileException(folder.callsFile().toString());
     }
     Path copy = Files.createTempFile("coveladder-state", ".mv");
     try {
@@ -48,44 +48,44 @@
   /** A file that is written while it is copied may come out broken: then it is copied again. */
   private static Contents read(StateFolder folder, Path copy)
       throws IOException, DiskStore.UnusableFolderException {
-    MVStoreException last = null;
-    for (int i = 0; i < COPIES; i++) {
-      Files.copy(folder.file(), copy, StandardCopyOption.REPLACE_EXISTING);
-      try (CallFile file = CallFile.openToRead(copy.toString())) {
+    MVStoreException lastFailure = null;
+    for (int attempt = 0; attempt < MAX_COPY_ATTEMPTS; attempt++) {
+      Files.copy(folder.callsFile(), copy, StandardCopyOption.REPLACE_EXISTING);
+      try (CallFile file = CallFile.openReadOnly(copy.toString())) {
         List<String> damaged = new ArrayList<>();
         List<SavedCall> calls =
-            file.readAll((id, why) -> damaged.add("record of call " + id + ": " + why));
-        return new Contents(calls, damaged, folder.behind(), Files.size(copy));
+            file.readAll((id, reason) -> damaged.add("record of call " + id + ": " + reason));
+        return new Contents(calls, damaged, folder.isBehind(), Files.size(copy));
       } catch (MVStoreException e) {
-        last = e;
+        lastFailure = e;
       }
     }
     throw new DiskStore.UnusableFolderException(
-        folder.file() + " cannot be read: " + last.getMessage());
+        folder.callsFile() + " cannot be read: " + lastFailure.getMessage());
   }
 
   /** Makes the file as small as can be; its sizes before and after, octets. */
   public static long[] compact(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
-    if (!folder.exists()) {
-      throw new NoSuchFileException(folder.file().toString());
+    if (!folder.hasCallsFile()) {
+      throw new NoSuchFileException(folder.callsFile().toString());
     }
-    long before = Files.size(folder.file());
+    long sizeBeforeBytes = Files.size(folder.callsFile());
     try (FileChannel lock = lock(folder);
-        CallFile file = CallFile.open(folder.file().toString());
-        CallFile small = CallFile.openFresh(folder)) {
-      file.copyTo(small);
-      folder.takeFresh();
+        CallFile file = CallFile.open(folder.callsFile().toString());
+        CallFile compacted = CallFile.openNew(folder)) {
+      file.copyTo(compacted);
+      folder.installNewCallsFile();
     } catch (MVStoreException e) {
       throw new DiskStore.UnusableFolderException(
-          folder.file() + " cannot be read: " + e.getMessage());
+          folder.callsFile() + " cannot be read: " + e.getMessage());
     }
-    return new long[] {before, Files.size(folder.file())};
+    return new long[] {sizeBeforeBytes, Files.size(folder.callsFile())};
   }
 
   private static FileChannel lock(StateFolder folder)
       throws IOException, DiskStore.UnusableFolderException {
-    FileChannel lock = folder.lock();
+    FileChannel lock = folder.tryLock();
     if (lock == null) {
       throw new DiskStore.UnusableFolderException(
           folder.path() + " is in use by another process; compact it when that one has ended");
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -31,7 +31,7 @@
 class DiskStoreTest {
   @TempDir private Path folder;
 
-  private static SavedCall saved(String id, Phase phase, String leg) {
+  private static SavedCall savedCall(String id, Phase phase, String leg) {
     Call call = new Call(id, 2, 1_500.5, 3, "5551", 4, false, true, false);
     return new SavedCall(
         call, phase, 1, "x1-0", leg.getBytes(), new byte[] {0, -1}, new byte[0], 123_456_789L);
@@ -41,25 +41,25 @@
     return new DiskStore(folder, Runnable::run);
   }
 
-  private DiskStore faulty() throws Exception {
-    FilePath.register(new FaultyFiles());
+  private DiskStore openWithFaultInjection() throws Exception {
+    FilePath.register(new FaultInjectingFilePath());
     return new DiskStore(folder, Runnable::run, 1, 1_000, name -> "faulty:" + name);
   }
 
   /** The disk fails: it is said, and after a crash the folder says that it is behind. */
   @ParameterizedTest
   @ValueSource(strings = {"full", "sync"})
-  void aDiskThatFailsIsSaidAndItsFolderIsBehind(String fault) throws Exception {
-    try (DiskStore store = faulty()) {
-      store.put(saved("a", Phase.STANDS, "leg"));
+  void diskFailureIsReportedAndFolderIsMarkedBehind(String fault) throws Exception {
+    try (DiskStore store = openWithFaultInjection()) {
+      store.put(savedCall("a", Phase.STANDS, "leg"));
       assertTrue(sync(store));
-      FaultyFiles.fault = fault;
-      store.put(saved("b", Phase.STANDS, "leg"));
+      FaultInjectingFilePath.injectedFault = fault;
+      store.put(savedCall("b", Phase.STANDS, "leg"));
       assertFalse(sync(store));
       assertEquals(1, store.failureCount());
       assertFalse(store.failureReason().isEmpty());
     } finally {
-      FaultyFiles.fault = "";
+      FaultInjectingFilePath.injectedFault = "";
     }
     try (DiskStore store = open()) {
       assertTrue(store.found().behind());
@@ -68,7 +68,7 @@
     try (DiskStore store = open()) {
       assertTrue(store.found().behind());
       store.caughtUp();
-      assertTrue(store.found().calls().contains(saved("a", Phase.STANDS, "leg")));
+      assertTrue(store.found().calls().contains(savedCall("a", Phase.STANDS, "leg")));
     }
     try (DiskStore store = open()) {
       assertFalse(store.found().behind());
@@ -77,37 +77,37 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"full", "sync"})
-  void aDiskThatWorksAgainGetsAllCallsOnceMore(String fault) throws Exception {
-    SavedCall late = saved("late", Phase.STANDS, "leg");
-    try (DiskStore store = faulty()) {
-      store.begunAnew(() -> store.put(late));
-      store.put(saved("a", Phase.STANDS, "leg"));
+  void recoveredDiskReceivesAllCallsAgain(String fault) throws Exception {
+    SavedCall lateCall = savedCall("late", Phase.STANDS, "leg");
+    try (DiskStore store = openWithFaultInjection()) {
+      store.begunAnew(() -> store.put(lateCall));
+      store.put(savedCall("a", Phase.STANDS, "leg"));
       assertTrue(sync(store));
-      FaultyFiles.fault = fault;
-      store.put(late);
+      FaultInjectingFilePath.injectedFault = fault;
+      store.put(lateCall);
       assertFalse(sync(store));
-      FaultyFiles.fault = "";
-      boolean again = false;
-      for (int i = 0; i < 2_000 && !again; i++) {
-        again = sync(store);
+      FaultInjectingFilePath.injectedFault = "";
+      boolean recovered = false;
+      for (int i = 0; i < 2_000 && !recovered; i++) {
+        recovered = sync(store);
       }
-      assertTrue(again, store.failureReason());
+      assertTrue(recovered, store.failureReason());
     } finally {
-      FaultyFiles.fault = "";
+      FaultInjectingFilePath.injectedFault = "";
     }
     try (DiskStore store = open()) {
       assertFalse(store.found().behind());
-      assertEquals(List.of(late), store.found().calls());
+      assertEquals(List.of(lateCall), store.found().calls());
     }
   }
 
   /** However many calls come and go, the file stays in proportion to those that are kept. */
   @Test
-  void theFileDoesNotGrowWithTheCallsThatAreOver() throws Exception {
+  void fileSizeDoesNotGrowWithEndedCalls() throws Exception {
     String leg = "x".repeat(2_000);
     try (DiskStore store = new DiskStore(folder, Runnable::run, 1, 0, name -> name)) {
       for (int i = 0; i < 60_000; i++) {
-        store.put(saved("c" + i, Phase.STANDS, leg));
+        store.put(savedCall("c" + i, Phase.STANDS, leg));
         store.remove("c" + (i - 300));
         if (i % 60 == 0) {
           assertTrue(sync(store));
@@ -123,11 +123,12 @@
   }
 
   @Test
-  void aFolderInUseIsReadButNotCompacted() throws Exception {
+  void folderInUseCanBeReadButNotCompacted() throws Exception {
     try (DiskStore store = open()) {
-      store.put(saved("a", Phase.STANDS, "leg"));
+      store.put(savedCall("a", Phase.STANDS, "leg"));
       assertTrue(sync(store));
-      assertEquals(List.of(saved("a", Phase.STANDS, "leg")), StateFolderAdmin.read(folder).calls());
+      assertEquals(
+          List.of(savedCall("a", Phase.STANDS, "leg")), StateFolderAdmin.read(folder).calls());
       DiskStore.UnusableFolderException e =
           assertThrows(
               DiskStore.UnusableFolderException.class, () -> StateFolderAdmin.compact(folder));
@@ -138,17 +139,17 @@
   }
 
   @Test
-  void theClockGoesOnThoughTheWallClockIsSetBack() throws Exception {
+  void clockAdvancesWhenWallClockIsSetBack() throws Exception {
     Path file = folder.resolve("clock");
     PersistentMonotonicClock first =
         PersistentMonotonicClock.open(file, "b-1", () -> 5_000_000_000L, 1_000_000);
     assertEquals(1_000_000, first.getAsLong());
-    PersistentMonotonicClock next =
+    PersistentMonotonicClock restarted =
         PersistentMonotonicClock.open(file, "b-1", () -> 7_000_000_000L, 400);
-    assertEquals(1_002_000, next.getAsLong());
-    PersistentMonotonicClock booted =
+    assertEquals(1_002_000, restarted.getAsLong());
+    PersistentMonotonicClock rebooted =
         PersistentMonotonicClock.open(file, "b-2", () -> 1_000_000_000L, 2_000_000);
-    assertEquals(2_000_000, booted.getAsLong());
+    assertEquals(2_000_000, rebooted.getAsLong());
     Files.writeString(file, "nonsense");
     assertEquals(500, PersistentMonotonicClock.open(file, "b-2", () -> 0, 500).getAsLong());
   }
@@ -160,12 +161,12 @@
   }
 
   @Test
-  void whatWasKeptIsFoundAgainAndWhatWasRemovedIsNot() throws Exception {
+  void storedCallsAreRestoredAndRemovedCallsAreNot() throws Exception {
     try (DiskStore store = open()) {
-      store.put(saved("a", Phase.SETTING_UP, "one"));
-      store.put(saved("b", Phase.STANDS, "two"));
-      store.put(saved("a", Phase.STANDS, "three"));
-      store.put(saved("c", Phase.ANSWERED, "four"));
+      store.put(savedCall("a", Phase.SETTING_UP, "one"));
+      store.put(savedCall("b", Phase.STANDS, "two"));
+      store.put(savedCall("a", Phase.STANDS, "three"));
+      store.put(savedCall("c", Phase.ANSWERED, "four"));
       store.remove("c");
       assertTrue(sync(store));
       assertFalse(store.found().behind(), "a new folder is in step");
@@ -173,7 +174,7 @@
     try (DiskStore store = open()) {
       assertFalse(store.found().behind());
       assertEquals(
-          List.of(saved("a", Phase.STANDS, "three"), saved("b", Phase.STANDS, "two")),
+          List.of(savedCall("a", Phase.STANDS, "three"), savedCall("b", Phase.STANDS, "two")),
           store.found().calls());
       assertEquals(List.of(), store.found().damaged());
     }
@@ -183,7 +184,7 @@
   void manyChangesShareOneCommit() throws Exception {
     try (DiskStore store = open()) {
       for (int i = 0; i < 5_000; i++) {
-        store.put(saved("c" + i, Phase.STANDS, "leg"));
+        store.put(savedCall("c" + i, Phase.STANDS, "leg"));
       }
       assertTrue(sync(store));
       assertTrue(store.commitCount() < 500, "commits " + store.commitCount());
@@ -191,7 +192,7 @@
   }
 
   @Test
-  void aFolderInUseIsRefused() throws Exception {
+  void folderInUseIsRejected() throws Exception {
     try (DiskStore store = open()) {
       DiskStore.UnusableFolderException e =
           assertThrows(DiskStore.UnusableFolderException.class, this::open);
@@ -201,21 +202,21 @@
   }
 
   @Test
-  void damagedRecordsAndNewerOnesAreSetAsideAndTheRestGoesOn() throws Exception {
-    byte[] sound = RecordCodec.write(saved("a", Phase.STANDS, "leg"));
-    byte[] torn = Arrays.copyOf(sound, sound.length - 3);
+  void damagedAndNewerRecordsAreQuarantinedAndOthersRestored() throws Exception {
+    byte[] intact = RecordCodec.encode(savedCall("a", Phase.STANDS, "leg"));
+    byte[] truncated = Arrays.copyOf(intact, intact.length - 3);
     byte[] newer = SavedCallRecord.newBuilder().setVersion(99).setId("n").build().toByteArray();
-    CRC32C check = new CRC32C();
-    check.update(newer);
-    byte[] checked =
-        ByteBuffer.allocate(4 + newer.length).putInt((int) check.getValue()).put(newer).array();
-    try (MVStore raw = MVStore.open(folder.resolve("calls.mv").toString())) {
-      raw.<String, byte[]>openMap("calls").put("a", sound);
-      raw.<String, byte[]>openMap("calls").put("t", torn);
-      raw.<String, byte[]>openMap("calls").put("n", checked);
+    CRC32C checksum = new CRC32C();
+    checksum.update(newer);
+    byte[] newerWithChecksum =
+        ByteBuffer.allocate(4 + newer.length).putInt((int) checksum.getValue()).put(newer).array();
+    try (MVStore rawStore = MVStore.open(folder.resolve("calls.mv").toString())) {
+      rawStore.<String, byte[]>openMap("calls").put("a", intact);
+      rawStore.<String, byte[]>openMap("calls").put("t", truncated);
+      rawStore.<String, byte[]>openMap("calls").put("n", newerWithChecksum);
     }
     try (DiskStore store = open()) {
-      assertEquals(List.of(saved("a", Phase.STANDS, "leg")), store.found().calls());
+      assertEquals(List.of(savedCall("a", Phase.STANDS, "leg")), store.found().calls());
       assertEquals(2, store.found().damaged().size());
       assertTrue(store.found().damaged().get(0).contains("version 99"));
       assertTrue(store.found().damaged().get(1).contains("check does not fit"));
@@ -227,15 +228,16 @@
   }
 
   @Test
-  void everyOctetOfARecordTurnedIsSeen() throws Exception {
-    byte[] sound = RecordCodec.write(saved("a", Phase.STANDS, "leg"));
-    for (int i = 0; i < sound.length; i++) {
-      byte[] turned = sound.clone();
-      turned[i] ^= 1;
-      assertThrows(RecordCodec.BadRecord.class, () -> RecordCodec.read(turned));
+  void corruptionOfAnyByteIsDetected() throws Exception {
+    byte[] intact = RecordCodec.encode(savedCall("a", Phase.STANDS, "leg"));
+    for (int i = 0; i < intact.length; i++) {
+      byte[] corrupted = intact.clone();
+      corrupted[i] ^= 1;
+      assertThrows(
+          RecordCodec.UnreadableRecordException.class, () -> RecordCodec.decode(corrupted));
     }
-    assertEquals(saved("a", Phase.STANDS, "leg"), RecordCodec.read(sound));
-    assertTrue(ByteString.copyFrom(sound).size() < 200);
+    assertEquals(savedCall("a", Phase.STANDS, "leg"), RecordCodec.decode(intact));
+    assertTrue(ByteString.copyFrom(intact).size() < 200);
   }
 
   /**
@@ -243,49 +245,54 @@
    * acknowledged before the file reached that length is there, and nothing that never was a state.
    */
   @Test
-  void aFileCutAnywhereHoldsAllThatWasAcknowledgedByThen() throws Exception {
+  void truncatedFileHoldsEveryChangeAcknowledgedBeforeThatLength() throws Exception {
     List<Map<String, SavedCall>> states = new ArrayList<>();
-    List<Long> lengths = new ArrayList<>();
-    Map<String, SavedCall> now = new HashMap<>();
+    List<Long> acknowledgedLengths = new ArrayList<>();
+    Map<String, SavedCall> current = new HashMap<>();
     Path file = folder.resolve("calls.mv");
     try (DiskStore store = open()) {
       for (int i = 0; i < 25; i++) {
-        SavedCall call = saved("c" + i % 10, Phase.STANDS, "leg" + i);
-        now.put(call.id(), call);
+        SavedCall call = savedCall("c" + i % 10, Phase.STANDS, "leg" + i);
+        current.put(call.id(), call);
         store.put(call);
-        states.add(new HashMap<>(now));
-        lengths.add(Long.MAX_VALUE);
+        states.add(new HashMap<>(current));
+        acknowledgedLengths.add(Long.MAX_VALUE);
         if (i % 4 == 3) {
-          now.remove("c" + i % 7);
+          current.remove("c" + i % 7);
           store.remove("c" + i % 7);
-          states.add(new HashMap<>(now));
-          lengths.add(Long.MAX_VALUE);
+          states.add(new HashMap<>(current));
+          acknowledgedLengths.add(Long.MAX_VALUE);
         }
         assertTrue(sync(store));
-        lengths.set(lengths.size() - 1, Files.size(file));
+        acknowledgedLengths.set(acknowledgedLengths.size() - 1, Files.size(file));
       }
       byte[] whole = Files.readAllBytes(file);
-      for (int cut = 0; cut <= whole.length; cut += cut % 4096 == 0 ? 1 : 1365) {
-        check(Arrays.copyOf(whole, cut), cut, states, lengths);
+      for (int length = 0; length <= whole.length; length += length % 4096 == 0 ? 1 : 1365) {
+        assertHoldsAcknowledgedState(
+            Arrays.copyOf(whole, length), length, states, acknowledgedLengths);
       }
     }
   }
 
-  private void check(
-      byte[] octets, long cut, List<Map<String, SavedCall>> states, List<Long> lengths)
+  private void assertHoldsAcknowledgedState(
+      byte[] truncated,
+      long length,
+      List<Map<String, SavedCall>> states,
+      List<Long> acknowledgedLengths)
       throws Exception {
-    Path other = Files.createTempDirectory(folder, "cut");
-    Files.write(other.resolve("calls.mv"), octets);
+    Path truncatedFolder = Files.createTempDirectory(folder, "cut");
+    Files.write(truncatedFolder.resolve("calls.mv"), truncated);
     Map<String, SavedCall> found = new HashMap<>();
-    try (DiskStore store = new DiskStore(other, Runnable::run)) {
+    try (DiskStore store = new DiskStore(truncatedFolder, Runnable::run)) {
       store.found().calls().forEach(call -> found.put(call.id(), call));
     }
     int acknowledged = -1;
-    for (int i = 0; i < lengths.size(); i++) {
-      acknowledged = lengths.get(i) <= cut ? i : acknowledged;
+    for (int i = 0; i < acknowledgedLengths.size(); i++) {
+      acknowledged = acknowledgedLengths.get(i) <= length ? i : acknowledged;
     }
     int state = found.isEmpty() ? -1 : states.lastIndexOf(found);
-    assertTrue(found.isEmpty() || state >= 0, "cut at " + cut + " gives what never was");
-    assertTrue(state >= acknowledged, "cut at " + cut + " gives " + state + " of " + acknowledged);
+    assertTrue(found.isEmpty() || state >= 0, "cut at " + length + " gives what never was");
+    assertTrue(
+        state >= acknowledged, "cut at " + length + " gives " + state + " of " + acknowledged);
   }
 }
--- a/store/src/test/java/coveladder/store/FaultyFiles.java
+++ b/store/src/test/java/coveladder/store/FaultInjectingFilePath.java
@@ -8,8 +8,8 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /** A file system whose files fail on order: no space, or no sync. */
-public final class FaultyFiles extends FilePathWrapper {
-  static volatile String fault = "";
+public final class FaultInjectingFilePath extends FilePathWrapper {
+  static volatile String injectedFault = "";
 
   @Override
   public String getScheme() {
@@ -27,7 +27,7 @@
 
       @Override
       public int write(ByteBuffer from, long to) throws IOException {
-        if (fault.equals("full")) {
+        if (injectedFault.equals("full")) {
           throw new IOException("No space left on device");
         }
         return inner.write(from, to);
@@ -67,7 +67,7 @@
 
       @Override
       public void force(boolean all) throws IOException {
-        if (fault.equals("sync")) {
+        if (injectedFault.equals("sync")) {
           throw new IOException("Input/output error");
         }
         inner.force(all);
