--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -10,11 +10,11 @@
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
 
-/** One MVStore file with a map from call ids to records. */
+/** An MVStore file with a map from call ids to encoded records. */
 final class CallFile implements AutoCloseable {
   /**
-   * Space of blocks that a commit freed is used again after this, ms. Each commit is synced, so it
-   * is enough that no commit takes so long.
+   * Time after which space freed by a commit is reused. Since each commit is synced, it only has to
+   * be longer than a commit takes.
    */
   static final int RETENTION_MILLIS = 1_000;
 
@@ -33,33 +33,35 @@
     store.setRetentionTime(retentionMillis);
   }
 
-  /** Counts one more opening of the file; how many that makes. */
+  /** Increments the number of times that the file was opened and returns the new number. */
   int incrementOpenCount() {
     int openCount = metadata.getOrDefault(OPEN_COUNT_KEY, 0) + 1;
     metadata.put(OPEN_COUNT_KEY, openCount);
     return openCount;
   }
 
-  /** Takes over how often the file in whose place this one is had been opened. */
+  /** Sets the number of times opened, taken over from the file that this one replaces. */
   void setOpenCount(int openCount) {
     metadata.put(OPEN_COUNT_KEY, openCount);
   }
 
+  /** Opens or creates a file. */
   static CallFile open(String fileName) {
     return open(fileName, RETENTION_MILLIS);
   }
 
-  /** The same with another time until space is used again, ms. */
+  /** Opens or creates a file with the given time until freed space is reused. */
   static CallFile open(String fileName, int retentionMillis) {
     return new CallFile(builder(fileName).open(), retentionMillis);
   }
 
-  /** A new file that may take the place of the folder's own. */
+  /** Creates an empty file that can replace the folder's current file of calls. */
   static CallFile openNew(StateFolder folder) throws IOException {
     Files.deleteIfExists(folder.newCallsFile());
     return open(folder.newCallsFile().toString());
   }
 
+  /** Opens an existing file for reading only. */
   static CallFile openReadOnly(String fileName) {
     return new CallFile(builder(fileName).readOnly().open(), RETENTION_MILLIS);
   }
@@ -76,7 +78,7 @@
     calls.remove(id);
   }
 
-  /** Makes all changes so far safe; whether there were any. */
+  /** Writes and syncs all changes so far; returns whether there were any. */
   boolean commit() {
     boolean changed = store.hasUnsavedChanges();
     if (changed) {
@@ -87,15 +89,15 @@
   }
 
   /**
-   * Moves some of what lives out of blocks that hold little, so that the file stays in proportion
-   * to the calls that are kept however many come and go.
+   * Moves live records out of sparsely filled chunks, a limited amount at a time, so that the file
+   * size stays proportional to the stored calls, however many have been added and removed.
    */
   void compact() {
     store.compact(TARGET_FILL_PERCENT, MAX_COMPACTION_BYTES);
     commit();
   }
 
-  /** Puts all records into another file. */
+  /** Copies all records and the number of times opened to another file, and commits it. */
   void copyTo(CallFile other) {
     calls.forEach(other::put);
     other.setOpenCount(metadata.getOrDefault(OPEN_COUNT_KEY, 0));
@@ -103,8 +105,9 @@
   }
 
   /**
-   * Reads all records, on all processors; one that cannot be used is told with its reason and left
-   * out.
+   * Decodes all records in parallel and returns the readable ones.
+   *
+   * @param onUnreadable receives the call id of each other record and the reason
    */
   List<SavedCall> readAll(BiConsumer<String, String> onUnreadable) {
     List<Map.Entry<String, byte[]>> entries = new ArrayList<>();
@@ -124,7 +127,12 @@
     return readable;
   }
 
-  /** A record that was read, or why it could not be. */
+  /**
+   * The result of decoding one record.
+   *
+   * @param saved the call; null if the record is unreadable
+   * @param reason why the record is unreadable; empty if it is readable
+   */
   private record ReadResult(String id, SavedCall saved, String reason) {
     static ReadResult decode(String id, byte[] record) {
       try {
@@ -135,7 +143,11 @@
     }
   }
 
-  /** Reads all records and takes the unusable ones out, written down with their reasons. */
+  /**
+   * Reads all records and moves the unreadable ones to the quarantine file of the folder.
+   *
+   * @param damaged list to which a description of each unreadable record is added
+   */
   List<SavedCall> readAllAndQuarantine(StateFolder folder, List<String> damaged)
       throws IOException {
     List<String> unreadableIds = new ArrayList<>();
@@ -159,7 +171,7 @@
     store.close();
   }
 
-  /** Closes without writing anything more. */
+  /** Closes the file and discards uncommitted changes. */
   void closeWithoutWriting() {
     store.closeImmediately();
   }
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -19,15 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls kept in an MVStore file. Changes of many calls reach the disk together: a thread of its own
- * takes what waits, commits and syncs once, and tells all who asked (group commit).
+ * Stores calls in an MVStore file with group commit: a writer thread takes all queued changes,
+ * commits and syncs them once, and then notifies every caller that waits for a sync.
  *
- * <p>A disk that fails loses nothing silently: the folder is marked as behind, those who wait are
- * told, and every some seconds a new file is tried, into which all calls are put once more.
+ * <p>A disk failure is never silent: the folder is marked as behind, waiting callers are told that
+ * the sync failed, and every few seconds the store tries to create a new file, into which the
+ * controller writes all calls again.
  */
 public final class DiskStore implements CallStore, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DiskStore.class);
+
+  /** Value of {@link WriteRequest#rewriteAttempt} for a request made by {@link #caughtUp}. */
   private static final int CAUGHT_UP = -1;
+
   private static final int MAX_BATCH_SIZE = 4_096;
   private static final int QUEUE_CAPACITY = 100_000;
   private static final long CLOSE_TIMEOUT_MILLIS = 10_000;
@@ -54,15 +58,20 @@
   private long lastCompactionNanos;
 
   /**
-   * A change, or somebody who waits for all changes before, or the word that all was put again.
+   * An entry of the writer's queue: a change of one call, a request to be notified of a sync, or a
+   * marker.
    *
-   * @param rewriteAttempt which try to begin anew all was put again for; 0: none, -1: none, but all
-   *     that was found behind has been set right
+   * @param id id of the call that is stored or removed; null: not a change
+   * @param call the call to store; null: the call is removed, or this is not a change
+   * @param onSynced told whether all earlier changes are on disk; null: nobody waits
+   * @param rewriteAttempt number of the attempt with a new file for which all calls have now been
+   *     queued again; 0: this is not a marker; {@link #CAUGHT_UP}: the state found at the opening
+   *     has been brought up to date
    */
   private record WriteRequest(
       String id, SavedCall call, Consumer<Boolean> onSynced, int rewriteAttempt) {}
 
-  /** A folder that cannot be used; the message says why and what to do. */
+  /** Thrown for a state folder that cannot be used; the message says why and what to do. */
   public static final class UnusableFolderException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -72,9 +81,9 @@
   }
 
   /**
-   * Opens a folder, which is made if need be, and reads all that it holds.
+   * Opens a state folder, creating it if it does not exist, and reads all calls in it.
    *
-   * @param callbackExecutor where those who wait for a sync are told
+   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #begunAnew}
    */
   public DiskStore(Path folder, Executor callbackExecutor)
       throws IOException, UnusableFolderException {
@@ -82,11 +91,12 @@
   }
 
   /**
-   * Opens a folder.
+   * Opens a state folder with the given timing and file system.
    *
-   * @param retryIntervalMillis time between tries to begin anew after a failure, ms
-   * @param retentionMillis time until space in the file is used again, ms
-   * @param fileNameMapper file names as the store is to use them
+   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #begunAnew}
+   * @param retryIntervalMillis time between attempts to create a new file after a failure, ms
+   * @param retentionMillis time until freed space in the file is reused, ms
+   * @param fileNameMapper maps a path to the file name that MVStore opens
    */
   DiskStore(
       Path path,
@@ -118,6 +128,9 @@
     writer.start();
   }
 
+  /**
+   * Opens the file of calls; one that cannot be opened is quarantined and replaced by a new one.
+   */
   private CallFile openOrReplaceCallFile(List<String> damaged)
       throws IOException, UnusableFolderException {
     boolean existed = folder.hasCallsFile();
@@ -168,7 +181,10 @@
     enqueue(new WriteRequest(null, null, done, 0));
   }
 
-  /** A queue that is full counts as a disk that fails: calls go on, and the store says so. */
+  /**
+   * Queues a request and returns whether there was room. A full queue is handled as a disk failure:
+   * calls continue, and the failure is reported.
+   */
   private boolean enqueue(WriteRequest request) {
     boolean accepted = queue.offer(request);
     if (!accepted) {
@@ -180,7 +196,7 @@
     return accepted;
   }
 
-  // ---- The writer ---------------------------------------------------------------------------
+  // ---- Writer thread ------------------------------------------------------------------------
 
   private void runWriter() {
     List<WriteRequest> batch = new ArrayList<>(MAX_BATCH_SIZE);
@@ -199,6 +215,7 @@
     }
   }
 
+  /** Writes the changes of a batch, then acts on its sync requests and markers. */
   private void processBatch(List<WriteRequest> batch) {
     if (!failureReason.isEmpty() && !rewriting) {
       tryNewCallFile();
@@ -217,7 +234,11 @@
     }
   }
 
-  /** Changes that nobody waits for are committed with the next that somebody does, or when idle. */
+  /**
+   * Writes the changes of a batch; false if the disk failed. They are committed at once only if the
+   * batch holds a sync request or a marker; otherwise with the next such batch, or when the queue
+   * is idle.
+   */
   private boolean commit(List<WriteRequest> batch) {
     boolean commitNeeded = batch.isEmpty();
     try {
@@ -244,9 +265,12 @@
     }
   }
 
-  // ---- Failure ------------------------------------------------------------------------------
+  // ---- Failure and rewrite ------------------------------------------------------------------
 
-  /** The first failure marks the folder; the marks of a folder that cannot be marked are logged. */
+  /**
+   * Records why the disk failed and marks the folder as behind. Further failures are ignored until
+   * the store works again. If the folder cannot be marked, the log tells the operator to empty it.
+   */
   private synchronized void recordFailure(String reason) {
     if (!failureReason.isEmpty()) {
       return;
@@ -264,6 +288,7 @@
     }
   }
 
+  /** Closes the failed file without writing to it and starts the wait for the next attempt. */
   private void abandonCallFile() {
     rewriting = false;
     if (callFile != null) {
@@ -273,7 +298,10 @@
     lastAttemptNanos = System.nanoTime();
   }
 
-  /** Begins a new file beside the failed one; the controller is asked to put everything again. */
+  /**
+   * Creates a new file next to the failed one and asks the controller to store all calls again;
+   * does nothing before the retry interval has passed.
+   */
   private void tryNewCallFile() {
     if (callFile != null) {
       abandonCallFile();
@@ -295,6 +323,7 @@
     }
   }
 
+  /** Queues all calls again, followed by the marker that ends this attempt. */
   private void rewriteCalls(int attempt) {
     rewriteAllCalls.run();
     if (!enqueue(new WriteRequest(null, null, null, attempt))) {
@@ -310,7 +339,10 @@
     }
   }
 
-  /** All that is kept is in the new file, and safe: it takes the place of the failed one. */
+  /**
+   * Replaces the failed file with the new one, which by now holds every stored call, synced to
+   * disk.
+   */
   private void installRewrittenFile() {
     try {
       folder.installNewCallsFile();
@@ -324,29 +356,29 @@
     }
   }
 
-  // ---- Figures ------------------------------------------------------------------------------
+  // ---- Statistics ---------------------------------------------------------------------------
 
-  /** Why the disk fails; empty while it works. */
+  /** Returns why the disk fails; empty while it works. */
   public String failureReason() {
     return failureReason;
   }
 
-  /** How often the disk began to fail. */
+  /** Returns how many times the disk went from working to failing. */
   public long failureCount() {
     return failureCount;
   }
 
-  /** Commits so far; each made a group of changes safe. */
+  /** Returns the number of commits so far; each put a group of changes on disk. */
   public long commitCount() {
     return commitCount;
   }
 
-  /** Changes that wait for the disk. */
+  /** Returns the number of requests that wait for the writer thread. */
   public int pendingChanges() {
     return queue.size();
   }
 
-  /** Writes all that waits and closes the file. */
+  /** Writes all queued changes, closes the file and releases the lock. */
   @Override
   public void close() {
     running = false;
--- a/store/src/main/java/coveladder/store/PersistentMonotonicClock.java
+++ b/store/src/main/java/coveladder/store/PersistentMonotonicClock.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * A clock that goes on across restarts of the process and is not moved when the wall clock is set:
- * the machine's own count of time, which lasts until it boots again, with the difference to the
- * wall clock as it was at first. After a boot the wall clock is asked anew.
+ * A clock in milliseconds that continues across restarts of the process and is unaffected when the
+ * wall clock is set. It is the machine's monotonic clock, which runs until the next boot, plus its
+ * offset from the wall clock. The offset is stored in a file and determined again after each boot.
  */
 public final class PersistentMonotonicClock implements LongSupplier {
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
@@ -24,7 +24,7 @@
     this.offsetMillis = offsetMillis;
   }
 
-  /** The clock of a state folder, which must exist. */
+  /** Opens the clock of a state folder, which must exist. */
   public static PersistentMonotonicClock open(Path folder) throws IOException {
     String bootId = Files.exists(BOOT_ID_FILE) ? Files.readString(BOOT_ID_FILE).trim() : "";
     return open(
@@ -32,10 +32,11 @@
   }
 
   /**
-   * The clock of a file.
+   * Opens the clock whose offset is stored in a file.
    *
-   * @param bootId names the time since the machine booted; empty: unknown, the wall clock counts
-   * @param monotonicNanos the machine's count of time, ns
+   * @param bootId id of the current boot of the machine; empty: unknown, so the stored offset is
+   *     not used
+   * @param monotonicNanos the machine's monotonic clock, ns
    * @param wallMillis the wall clock, ms since 1970
    */
   static PersistentMonotonicClock open(
@@ -49,7 +50,7 @@
     return new PersistentMonotonicClock(monotonicNanos, wallMillis - monotonicMillis);
   }
 
-  /** The file's text; empty where there is none, or none that this program wrote. */
+  /** Returns the text of the file; empty if it is missing or not in the clock's format. */
   private static String readStored(Path file) throws IOException {
     try {
       String text = Files.readString(file, StandardCharsets.UTF_8);
@@ -59,6 +60,7 @@
     }
   }
 
+  /** Returns the time of this clock, ms since 1970. */
   @Override
   public long getAsLong() {
     return Math.round(monotonicNanos.getAsLong() / NANOS_PER_MILLI) + offsetMillis;
--- a/store/src/main/java/coveladder/store/RecordCodec.java
+++ b/store/src/main/java/coveladder/store/RecordCodec.java
@@ -8,16 +8,19 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Records as octets: a CRC-32C of four octets, then the protobuf message. */
+/**
+ * Encodes and decodes the record of a call: a CRC-32C checksum of four bytes, big-endian, followed
+ * by the protobuf message that the checksum covers.
+ */
 final class RecordCodec {
-  /** The version that this program writes, and the newest that it reads. */
+  /** The record version that this program writes, and the newest that it reads. */
   static final int VERSION = 1;
 
   private static final int CHECKSUM_BYTES = 4;
 
   private RecordCodec() {}
 
-  /** A record that cannot be used; the message says why. */
+  /** Thrown for a record that cannot be decoded; the message says why. */
   static final class UnreadableRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/store/src/main/java/coveladder/store/StateFolder.java
+++ b/store/src/main/java/coveladder/store/StateFolder.java
@@ -12,9 +12,17 @@
 import java.util.Base64;
 
 /**
- * The files of a state folder. {@code calls.mv} holds the calls; {@code in-step} is there as long
- * as no call goes on unkept, and is taken away when the disk fails, as that works on a full disk
- * too; {@code set-aside.txt} holds records that could not be read, {@code clock} the steady clock.
+ * The files of a state folder:
+ *
+ * <ul>
+ *   <li>{@code calls.mv} holds the calls.
+ *   <li>{@code in-step} is a marker that exists while the file of calls is up to date. It is
+ *       deleted when the disk fails, since a deletion works on a full disk too. Without it the
+ *       folder is behind: some calls continued without being stored.
+ *   <li>{@code set-aside.txt} is the quarantine for records that could not be read.
+ *   <li>{@code clock} belongs to {@link PersistentMonotonicClock}.
+ *   <li>{@code lock} is the lock file.
+ * </ul>
  */
 final class StateFolder {
   private static final String CALLS_FILE = "calls.mv";
@@ -34,8 +42,9 @@
   }
 
   /**
-   * Takes the folder for this process; null where another has it. The file of calls alone would not
-   * do: it is let go of when it fails.
+   * Locks the folder for this process, creating the folder if it does not exist; null if the lock
+   * is already held. A lock on the file of calls would not be enough, since that file is closed
+   * when the disk fails.
    */
   FileChannel tryLock() throws IOException {
     if (!Files.isDirectory(folder)) {
@@ -50,7 +59,7 @@
         return channel;
       }
     } catch (OverlappingFileLockException e) {
-      // This process has it: the same refusal.
+      // This process already holds the lock: handled as if another process did.
     }
     channel.close();
     return null;
@@ -60,7 +69,7 @@
     return folder.resolve(CALLS_FILE);
   }
 
-  /** Where a store that begins anew is written before it takes the place of the failed one. */
+  /** Returns the path of a replacement file while it is written. */
   Path newCallsFile() {
     return folder.resolve(NEW_CALLS_FILE);
   }
@@ -73,7 +82,7 @@
     return Files.exists(callsFile());
   }
 
-  /** Whether calls may have gone on unkept since the file was written last. */
+  /** Returns whether calls may have continued without being stored since the last write. */
   boolean isBehind() {
     return hasCallsFile() && !Files.exists(folder.resolve(IN_STEP_MARKER));
   }
@@ -90,20 +99,20 @@
     syncDirectory(folder);
   }
 
-  /** A name in a folder is safe once the folder itself was synced. */
+  /** Syncs a directory; only then does a created, renamed or deleted entry survive a crash. */
   private static void syncDirectory(Path directory) throws IOException {
     try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
-  /** The store that began anew takes the place of the failed one. */
+  /** Replaces the file of calls with the new one, atomically. */
   void installNewCallsFile() throws IOException {
     Files.move(newCallsFile(), callsFile(), StandardCopyOption.ATOMIC_MOVE);
     syncDirectory(folder);
   }
 
-  /** Puts a file aside that cannot be opened; its new place. */
+  /** Renames a file of calls that cannot be opened; returns its new path. */
   Path quarantineCallsFile() throws IOException {
     long modifiedMillis = Files.getLastModifiedTime(callsFile()).toMillis();
     Path quarantined = folder.resolve(CALLS_FILE + ".damaged-" + modifiedMillis);
@@ -111,7 +120,7 @@
     return quarantined;
   }
 
-  /** Writes a record that cannot be used to the file for those, up to a bound. */
+  /** Appends an unreadable record to the quarantine file, unless that has reached its limit. */
   void quarantineRecord(String reason, byte[] record) throws IOException {
     Path quarantineFile = folder.resolve(QUARANTINE_FILE);
     if (!Files.exists(quarantineFile) || Files.size(quarantineFile) < MAX_QUARANTINE_BYTES) {
--- a/store/src/main/java/coveladder/store/StateFolderAdmin.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -12,8 +12,8 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * A state folder as staff look at it. Reading takes a copy of the file, so that a running
- * controller is not disturbed; compacting needs the folder to be free.
+ * Operations on a state folder for administrators. Reading works on a copy of the file, so that a
+ * running controller is not disturbed; compaction needs a folder that no process has locked.
  */
 public final class StateFolderAdmin {
   private static final int MAX_COPY_ATTEMPTS = 5;
@@ -21,17 +21,17 @@
   private StateFolderAdmin() {}
 
   /**
-   * What is in a folder.
+   * The contents of a state folder.
    *
-   * @param calls calls that could be read
-   * @param damagedRecords records that could not, with their reasons
-   * @param behind whether calls go or went on unkept
-   * @param sizeBytes size of the file
+   * @param calls the calls that could be read
+   * @param damagedRecords the records that could not be read, each as its call id and the reason
+   * @param behind whether calls continue, or continued, without being stored
+   * @param sizeBytes size of the file of calls
    */
   public record Contents(
       List<SavedCall> calls, List<String> damagedRecords, boolean behind, long sizeBytes) {}
 
-  /** Reads a folder, in use or not. */
+  /** Reads a folder, whether or not it is in use. */
   public static Contents read(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
     if (!folder.hasCallsFile()) {
@@ -45,7 +45,10 @@
     }
   }
 
-  /** A file that is written while it is copied may come out broken: then it is copied again. */
+  /**
+   * Copies the file of calls and reads the copy. A copy taken during a write may be corrupt; it is
+   * then taken again.
+   */
   private static Contents read(StateFolder folder, Path copy)
       throws IOException, DiskStore.UnusableFolderException {
     MVStoreException lastFailure = null;
@@ -64,7 +67,7 @@
         folder.callsFile() + " cannot be read: " + lastFailure.getMessage());
   }
 
-  /** Makes the file as small as can be; its sizes before and after, octets. */
+  /** Compacts the file of calls; returns its sizes before and after, in bytes. */
   public static long[] compact(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
     if (!folder.hasCallsFile()) {
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -28,6 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests the state folder on working, failing and damaged files. */
 class DiskStoreTest {
   @TempDir private Path folder;
 
@@ -46,7 +47,10 @@
     return new DiskStore(folder, Runnable::run, 1, 1_000, name -> "faulty:" + name);
   }
 
-  /** The disk fails: it is said, and after a crash the folder says that it is behind. */
+  /**
+   * A disk failure is reported to callers, and the folder stays marked as behind over restarts
+   * until the controller has caught up.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"full", "sync"})
   void diskFailureIsReportedAndFolderIsMarkedBehind(String fault) throws Exception {
@@ -75,6 +79,7 @@
     }
   }
 
+  /** After a failure, a new file receives all calls from the controller and replaces the old. */
   @ParameterizedTest
   @ValueSource(strings = {"full", "sync"})
   void recoveredDiskReceivesAllCallsAgain(String fault) throws Exception {
@@ -101,7 +106,7 @@
     }
   }
 
-  /** However many calls come and go, the file stays in proportion to those that are kept. */
+  /** The file size stays proportional to the stored calls, however many were added and removed. */
   @Test
   void fileSizeDoesNotGrowWithEndedCalls() throws Exception {
     String leg = "x".repeat(2_000);
@@ -116,9 +121,9 @@
       assertTrue(sync(store));
     }
     long size = Files.size(folder.resolve("calls.mv"));
-    assertTrue(size < 30_000_000, "octets " + size);
+    assertTrue(size < 30_000_000, "size in bytes: " + size);
     long[] sizes = StateFolderAdmin.compact(folder);
-    assertTrue(sizes[1] < 2_000_000, "octets " + sizes[1]);
+    assertTrue(sizes[1] < 2_000_000, "compacted size in bytes: " + sizes[1]);
     assertEquals(300, StateFolderAdmin.read(folder).calls().size());
   }
 
@@ -169,7 +174,7 @@
       store.put(savedCall("c", Phase.ANSWERED, "four"));
       store.remove("c");
       assertTrue(sync(store));
-      assertFalse(store.found().behind(), "a new folder is in step");
+      assertFalse(store.found().behind(), "a new folder is not behind");
     }
     try (DiskStore store = open()) {
       assertFalse(store.found().behind());
@@ -187,7 +192,7 @@
         store.put(savedCall("c" + i, Phase.STANDS, "leg"));
       }
       assertTrue(sync(store));
-      assertTrue(store.commitCount() < 500, "commits " + store.commitCount());
+      assertTrue(store.commitCount() < 500, "commits: " + store.commitCount());
     }
   }
 
@@ -241,8 +246,10 @@
   }
 
   /**
-   * The file is cut at many places, block ends and their neighbours among them: whatever was
-   * acknowledged before the file reached that length is there, and nothing that never was a state.
+   * Truncates the file at many lengths, block ends and the bytes next to them included. The
+   * truncated file must hold every change acknowledged before the file reached that length, and its
+   * contents must be a state that the store has been in. States never acknowledged on their own
+   * have the length {@code Long.MAX_VALUE}.
    */
   @Test
   void truncatedFileHoldsEveryChangeAcknowledgedBeforeThatLength() throws Exception {
@@ -291,8 +298,11 @@
       acknowledged = acknowledgedLengths.get(i) <= length ? i : acknowledged;
     }
     int state = found.isEmpty() ? -1 : states.lastIndexOf(found);
-    assertTrue(found.isEmpty() || state >= 0, "cut at " + length + " gives what never was");
     assertTrue(
-        state >= acknowledged, "cut at " + length + " gives " + state + " of " + acknowledged);
+        found.isEmpty() || state >= 0,
+        "at length " + length + " the contents match no earlier state");
+    assertTrue(
+        state >= acknowledged,
+        "at length " + length + " state " + state + ", acknowledged " + acknowledged);
   }
 }
--- a/store/src/test/java/coveladder/store/FaultInjectingFilePath.java
+++ b/store/src/test/java/coveladder/store/FaultInjectingFilePath.java
@@ -7,8 +7,9 @@
 import org.h2.store.fs.FileBase;
 import org.h2.store.fs.FilePathWrapper;
 
-/** A file system whose files fail on order: no space, or no sync. */
+/** An MVStore file system that injects faults: writes to a full disk, or failing syncs. */
 public final class FaultInjectingFilePath extends FilePathWrapper {
+  /** {@code full}: writes fail, {@code sync}: syncs fail, empty: no fault. */
   static volatile String injectedFault = "";
 
   @Override
@@ -66,11 +67,11 @@
       }
 
       @Override
-      public void force(boolean all) throws IOException {
+      public void force(boolean includeMetadata) throws IOException {
         if (injectedFault.equals("sync")) {
           throw new IOException("Input/output error");
         }
-        inner.force(all);
+        inner.force(includeMetadata);
       }
 
       @Override
