--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -55,10 +55,10 @@
     return new CallFile(builder(fileName).open(), retentionMillis);
   }
 
-  /** Creates an empty file that can replace the folder's current file of calls. */
+  /** Creates an empty file that can replace the folder's current call file. */
   static CallFile openNew(StateFolder folder) throws IOException {
-    Files.deleteIfExists(folder.newCallsFile());
-    return open(folder.newCallsFile().toString());
+    Files.deleteIfExists(folder.newCallFile());
+    return open(folder.newCallFile().toString());
   }
 
   /** Opens an existing file for reading only. */
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -128,22 +128,20 @@
     writer.start();
   }
 
-  /**
-   * Opens the file of calls; one that cannot be opened is quarantined and replaced by a new one.
-   */
+  /** Opens the call file; one that cannot be opened is quarantined and replaced by a new one. */
   private CallFile openOrReplaceCallFile(List<String> damaged)
       throws IOException, UnusableFolderException {
-    boolean existed = folder.hasCallsFile();
+    boolean existed = folder.hasCallFile();
     try {
-      return openCallFile(folder.callsFile());
+      return openCallFile(folder.callFile());
     } catch (MVStoreException e) {
       if (!existed) {
         throw new UnusableFolderException(folder.path() + " cannot be written: " + e.getMessage());
       }
-      Path quarantined = folder.quarantineCallsFile();
+      Path quarantined = folder.quarantineCallFile();
       damaged.add(
-          folder.callsFile() + " could not be opened, now " + quarantined + ": " + e.getMessage());
-      return openCallFile(folder.callsFile());
+          folder.callFile() + " could not be opened, now " + quarantined + ": " + e.getMessage());
+      return openCallFile(folder.callFile());
     }
   }
 
@@ -311,8 +309,8 @@
     }
     lastAttemptNanos = System.nanoTime();
     try {
-      Files.deleteIfExists(folder.newCallsFile());
-      callFile = openCallFile(folder.newCallsFile());
+      Files.deleteIfExists(folder.newCallFile());
+      callFile = openCallFile(folder.newCallFile());
       callFile.setOpenCount(found.life());
       rewriting = true;
       rewriteAttempts++;
@@ -345,7 +343,7 @@
    */
   private void installRewrittenFile() {
     try {
-      folder.installNewCallsFile();
+      folder.installNewCallFile();
       folder.markInStep();
       rewriting = false;
       failureReason = "";
--- a/store/src/main/java/coveladder/store/StateFolder.java
+++ b/store/src/main/java/coveladder/store/StateFolder.java
@@ -16,17 +16,17 @@
  *
  * <ul>
  *   <li>{@code calls.mv} holds the calls.
- *   <li>{@code in-step} is a marker that exists while the file of calls is up to date. It is
- *       deleted when the disk fails, since a deletion works on a full disk too. Without it the
- *       folder is behind: some calls continued without being stored.
+ *   <li>{@code in-step} is a marker that exists while the call file is up to date. It is deleted
+ *       when the disk fails, since a deletion works on a full disk too. Without it the folder is
+ *       behind: some calls continued without being stored.
  *   <li>{@code set-aside.txt} is the quarantine for records that could not be read.
  *   <li>{@code clock} belongs to {@link PersistentMonotonicClock}.
  *   <li>{@code lock} is the lock file.
  * </ul>
  */
 final class StateFolder {
-  private static final String CALLS_FILE = "calls.mv";
-  private static final String NEW_CALLS_FILE = "calls.mv.new";
+  private static final String CALL_FILE = "calls.mv";
+  private static final String NEW_CALL_FILE = "calls.mv.new";
   private static final String IN_STEP_MARKER = "in-step";
   private static final String QUARANTINE_FILE = "set-aside.txt";
   private static final long MAX_QUARANTINE_BYTES = 64L << 20;
@@ -43,8 +43,8 @@
 
   /**
    * Locks the folder for this process, creating the folder if it does not exist; null if the lock
-   * is already held. A lock on the file of calls would not be enough, since that file is closed
-   * when the disk fails.
+   * is already held. A lock on the call file would not be enough, since that file is closed when
+   * the disk fails.
    */
   FileChannel tryLock() throws IOException {
     if (!Files.isDirectory(folder)) {
@@ -65,26 +65,26 @@
     return null;
   }
 
-  Path callsFile() {
-    return folder.resolve(CALLS_FILE);
+  Path callFile() {
+    return folder.resolve(CALL_FILE);
   }
 
   /** Returns the path of a replacement file while it is written. */
-  Path newCallsFile() {
-    return folder.resolve(NEW_CALLS_FILE);
+  Path newCallFile() {
+    return folder.resolve(NEW_CALL_FILE);
   }
 
   Path clockFile() {
     return folder.resolve("clock");
   }
 
-  boolean hasCallsFile() {
-    return Files.exists(callsFile());
+  boolean hasCallFile() {
+    return Files.exists(callFile());
   }
 
   /** Returns whether calls may have continued without being stored since the last write. */
   boolean isBehind() {
-    return hasCallsFile() && !Files.exists(folder.resolve(IN_STEP_MARKER));
+    return hasCallFile() && !Files.exists(folder.resolve(IN_STEP_MARKER));
   }
 
   void markInStep() throws IOException {
@@ -106,17 +106,17 @@
     }
   }
 
-  /** Replaces the file of calls with the new one, atomically. */
-  void installNewCallsFile() throws IOException {
-    Files.move(newCallsFile(), callsFile(), StandardCopyOption.ATOMIC_MOVE);
+  /** Replaces the call file with the new one, atomically. */
+  void installNewCallFile() throws IOException {
+    Files.move(newCallFile(), callFile(), StandardCopyOption.ATOMIC_MOVE);
     syncDirectory(folder);
   }
 
-  /** Renames a file of calls that cannot be opened; returns its new path. */
-  Path quarantineCallsFile() throws IOException {
-    long modifiedMillis = Files.getLastModifiedTime(callsFile()).toMillis();
-    Path quarantined = folder.resolve(CALLS_FILE + ".damaged-" + modifiedMillis);
-    Files.move(callsFile(), quarantined, StandardCopyOption.REPLACE_EXISTING);
+  /** Renames a call file that cannot be opened; returns its new path. */
+  Path quarantineCallFile() throws IOException {
+    long modifiedMillis = Files.getLastModifiedTime(callFile()).toMillis();
+    Path quarantined = folder.resolve(CALL_FILE + ".damaged-" + modifiedMillis);
+    Files.move(callFile(), quarantined, StandardCopyOption.REPLACE_EXISTING);
     return quarantined;
   }
 
--- a/store/src/main/java/coveladder/store/StateFolderAdmin.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -26,7 +26,7 @@
    * @param calls the calls that could be read
    * @param damagedRecords the records that could not be read, each as its call id and the reason
    * @param behind whether calls continue, or continued, without being stored
-   * @param sizeBytes size of the file of calls
+   * @param sizeBytes size of the call file
    */
   public record Contents(
       List<SavedCall> calls, List<String> damagedRecords, boolean behind, long sizeBytes) {}
@@ -34,8 +34,8 @@
   /** Reads a folder, whether or not it is in use. */
   public static Contents read(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
-    if (!folder.hasCallsFile()) {
-      throw new NoSuchFileException(folder.callsFile().toString());
+    if (!folder.hasCallFile()) {
+      throw new NoSuchFileException(folder.callFile().toString());
     }
     Path copy = Files.createTempFile("coveladder-state", ".mv");
     try {
@@ -46,14 +46,14 @@
   }
 
   /**
-   * Copies the file of calls and reads the copy. A copy taken during a write may be corrupt; it is
-   * then taken again.
+   * Copies the call file and reads the copy. A copy taken during a write may be corrupt; it is then
+   * taken again.
    */
   private static Contents read(StateFolder folder, Path copy)
       throws IOException, DiskStore.UnusableFolderException {
     MVStoreException lastFailure = null;
     for (int attempt = 0; attempt < MAX_COPY_ATTEMPTS; attempt++) {
-      Files.copy(folder.callsFile(), copy, StandardCopyOption.REPLACE_EXISTING);
+      Files.copy(folder.callFile(), copy, StandardCopyOption.REPLACE_EXISTING);
       try (CallFile file = CallFile.openReadOnly(copy.toString())) {
         List<String> damaged = new ArrayList<>();
         List<SavedCall> calls =
@@ -64,26 +64,26 @@
       }
     }
     throw new DiskStore.UnusableFolderException(
-        folder.callsFile() + " cannot be read: " + lastFailure.getMessage());
+        folder.callFile() + " cannot be read: " + lastFailure.getMessage());
   }
 
-  /** Compacts the file of calls; returns its sizes before and after, in bytes. */
+  /** Compacts the call file; returns its sizes before and after, in bytes. */
   public static long[] compact(Path path) throws IOException, DiskStore.UnusableFolderException {
     StateFolder folder = new StateFolder(path);
-    if (!folder.hasCallsFile()) {
-      throw new NoSuchFileException(folder.callsFile().toString());
+    if (!folder.hasCallFile()) {
+      throw new NoSuchFileException(folder.callFile().toString());
     }
-    long sizeBeforeBytes = Files.size(folder.callsFile());
+    long sizeBeforeBytes = Files.size(folder.callFile());
     try (FileChannel lock = lock(folder);
-        CallFile file = CallFile.open(folder.callsFile().toString());
+        CallFile file = CallFile.open(folder.callFile().toString());
         CallFile compacted = CallFile.openNew(folder)) {
       file.copyTo(compacted);
-      folder.installNewCallsFile();
+      folder.installNewCallFile();
     } catch (MVStoreException e) {
       throw new DiskStore.UnusableFolderException(
-          folder.callsFile() + " cannot be read: " + e.getMessage());
+          folder.callFile() + " cannot be read: " + e.getMessage());
     }
-    return new long[] {sizeBeforeBytes, Files.size(folder.callsFile())};
+    return new long[] {sizeBeforeBytes, Files.size(folder.callFile())};
   }
 
   private static FileChannel lock(StateFolder folder)
