--- a/app/src/main/java/coveladder/app/RunCommand.java
+++ b/app/src/main/java/coveladder/app/RunCommand.java
@@ -41,7 +41,7 @@
       return 2;
     }
     Daemon daemon = takeOver ? TakeOver.from(settings) : new Daemon(settings);
-    Signals.on("HUP", () -> reload(daemon));
+    Signals.setHandler("HUP", () -> reload(daemon));
     Runtime.getRuntime().addShutdownHook(new Thread(() -> end(daemon), "end"));
     daemon.awaitEnd();
     return 0;
--- a/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
+++ b/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
@@ -75,12 +75,12 @@
           all.text("name", "controller"),
           Address.of("listen", all.text("listen")),
           seed(all.text("seed", "0")),
-          all.smallWithin("limits.sockets", 1024, 64, 1 << 20),
+          all.intWithin("limits.sockets", 1024, 64, 1 << 20),
           Address.of("journal", all.text("journal")),
-          all.whole("known.pos"),
+          all.longValue("known.pos"),
           JournalLine.decodeAll(paths, "known.entries"),
           classNames(settings),
-          settings.within("rules.drainGrace", 0, 0, 1e9),
+          settings.numberWithin("rules.drainGrace", 0, 0, 1e9),
           SettingsReader.read(settings));
     } catch (MalformedException | IllegalArgumentException e) {
       throw new WireException("configuration: " + e.getMessage());
@@ -108,7 +108,7 @@
 
   private static List<String> classNames(Fields settings) {
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < settings.small("classes.count"); i++) {
+    for (int i = 0; i < settings.intValue("classes.count"); i++) {
       String path = "classes." + i + ".name";
       String name = settings.text(path);
       if (names.contains(name)) {
--- a/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
@@ -25,7 +25,7 @@
   @Test
   void theSameSettings() {
     assertEquals(
-        SettingsReader.read(Fields.ofLine(START)), PlatformSettings.read(Bed.CONFIG).policy());
+        SettingsReader.read(Fields.parseLine(START)), PlatformSettings.read(Bed.CONFIG).policy());
   }
 
   @Test
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -82,9 +82,9 @@
   }
 
   private void serve(PlatformSettings settings) throws IOException, InterruptedException {
-    Signals.on("TERM", () -> loop.execute(this::terminate));
-    Signals.on("HUP", reloads::ask);
-    if (Signals.ignored(HUP)) {
+    Signals.setHandler("TERM", () -> loop.execute(this::terminate));
+    Signals.setHandler("HUP", reloads::ask);
+    if (Signals.isIgnored(HUP)) {
       LOG.warn("SIGHUP was set to be ignored before the start: no new configuration will be read");
     }
     loop.after(0, front::start);
--- a/serve/src/main/java/coveladder/serve/Signals.java
+++ b/serve/src/main/java/coveladder/serve/Signals.java
@@ -22,7 +22,7 @@
    *
    * @param number of the signal, such as 1 for HUP
    */
-  public static boolean ignored(int number) {
+  public static boolean isIgnored(int number) {
     try (Stream<String> lines = Files.lines(STATUS)) {
       return lines
           .filter(line -> line.startsWith("SigIgn:"))
@@ -37,7 +37,7 @@
   }
 
   /** Runs a task at each signal of that name, such as HUP; whether that is possible here. */
-  public static boolean on(String name, Runnable task) {
+  public static boolean setHandler(String name, Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/simhost/src/main/java/coveladder/simhost/EventReader.java
+++ b/simhost/src/main/java/coveladder/simhost/EventReader.java
@@ -22,7 +22,7 @@
   static Exchange exchange(Fields f) {
     return new Exchange(
         f.text("switch"),
-        f.small("number"),
+        f.intValue("number"),
         ReportReader.state(f.text("state")),
         f.number("startTime", 0));
   }
@@ -35,7 +35,7 @@
     if (!List.of("delta", "full", "cached").contains(mode)) {
       throw new WireException("VIEW has unknown mode=" + mode);
     }
-    List<Exchange> entries = manifests.get(f.small("page"));
+    List<Exchange> entries = manifests.get(f.intValue("page"));
     if (entries == null) {
       throw new WireException("VIEW names page=" + f.text("page") + ", never sent");
     }
@@ -45,27 +45,27 @@
   static Call call(Fields f) {
     return new Call(
         f.text("handle"),
-        f.small("type"),
+        f.intValue("type"),
         f.number("patienceLeft"),
-        f.small("slotsNeeded", 1),
+        f.intValue("slotsNeeded", 1),
         f.text("subject", ""),
-        f.small("terminatesAt"),
+        f.intValue("terminatesAt"),
         f.flag("midflow"),
         f.flag("isRetry"),
         f.flag("returned"));
   }
 
   static Established stands(Fields f) {
-    return new Established(f.text("handle"), f.small("trial"), f.number("spent"));
+    return new Established(f.text("handle"), f.intValue("trial"), f.number("spent"));
   }
 
   static AttemptEnded ended(Fields f, String[] columns) {
     Outcome outcome = outcome(f.text("ending"));
-    int note = f.small("note", 0);
+    int note = f.intValue("note", 0);
     Reason reason = ReportReader.reason(note);
     return new AttemptEnded(
         f.text("handle"),
-        f.small("trial"),
+        f.intValue("trial"),
         f.text("switch"),
         outcome,
         reason,
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -44,13 +44,13 @@
   }
 
   private void read(String text) {
-    Fields f = Fields.ofLine(text);
-    switch (f.message()) {
+    Fields f = Fields.parseLine(text);
+    switch (f.messageName()) {
       case "BATCH" -> begin(f);
       case "GO" -> flush();
       case "START" -> start(f);
       case "SHUTDOWN" -> instance(f).policy = null;
-      case "MANIFEST" -> manifests.put(f.small("page"), manifest = new ArrayList<>());
+      case "MANIFEST" -> manifests.put(f.intValue("page"), manifest = new ArrayList<>());
       case "ROW" -> manifest.add(EventReader.exchange(f));
       case "VIEW" -> {
         var news = EventReader.news(f, manifests);
@@ -72,14 +72,14 @@
         deliver(f, (policy, host) -> policy.onCallerAbandoned(now, call));
       }
       case "TIMEOUT_FIRED" -> {
-        long label = f.whole("label");
+        long label = f.longValue("label");
         deliver(f, (policy, host) -> policy.onTimer(now, label));
       }
       case "STATUS_BACK" ->
           deliver(
               f, (policy, host) -> policy.onLoadReport(now, EventReader.report(f, host.columns)));
       case "PEER" -> {
-        int author = f.small("author");
+        int author = f.intValue("author");
         byte[] payload = payload(f.text("payload", "-"));
         deliver(f, (policy, host) -> policy.onPeerMessage(now, author, payload));
       }
@@ -101,18 +101,19 @@
   }
 
   private void start(Fields f) {
-    int who = f.small("who");
+    int who = f.intValue("who");
     var actions = new WireActions(who, reply);
-    var policy = new NestedThresholdPolicy(SettingsReader.read(f), f.whole("salt"), actions);
+    var policy = new NestedThresholdPolicy(SettingsReader.read(f), f.longValue("salt"), actions);
     var host = new Instance(who, policy, f.list("stats.fields"));
     instances.put(who, host);
     attempt(host, (p, h) -> p.onStart(now));
   }
 
   private Instance instance(Fields f) {
-    Instance host = instances.get(f.small("who"));
+    Instance host = instances.get(f.intValue("who"));
     if (host == null) {
-      throw new WireException(f.message() + " for instance " + f.text("who") + ", never started");
+      throw new WireException(
+          f.messageName() + " for instance " + f.text("who") + ", never started");
     }
     return host;
   }
--- a/wire/src/main/java/coveladder/wire/Fields.java
+++ b/wire/src/main/java/coveladder/wire/Fields.java
@@ -5,17 +5,17 @@
 
 /** Named values of one message, or of the settings by their paths. */
 public final class Fields {
-  private final String message;
+  private final String messageName;
   private final Map<String, String> values;
 
   /** Takes values that were read already; the message's name stands in errors. */
   public Fields(String message, Map<String, String> values) {
-    this.message = message;
+    this.messageName = message;
     this.values = values;
   }
 
   /** Reads the pairs that follow the first word of a line; words without a sign are skipped. */
-  public static Fields ofLine(String line) {
+  public static Fields parseLine(String line) {
     int end = line.indexOf(' ');
     String message = end < 0 ? line : line.substring(0, end);
     Map<String, String> values = new HashMap<>();
@@ -32,8 +32,8 @@
   }
 
   /** The name of the message. */
-  public String message() {
-    return message;
+  public String messageName() {
+    return messageName;
   }
 
   /** Whether a value is there and not empty. */
@@ -44,7 +44,7 @@
   /** A value that must be there. */
   public String text(String name) {
     if (!has(name)) {
-      throw new WireException(message + " lacks " + name);
+      throw new WireException(messageName + " lacks " + name);
     }
     return values.get(name);
   }
@@ -65,7 +65,7 @@
   }
 
   /** A number within bounds, or what stands for it where it is absent. */
-  public double within(String name, double absent, double least, double most) {
+  public double numberWithin(String name, double absent, double least, double most) {
     double value = number(name, absent);
     if (value >= least && value <= most) {
       return value;
@@ -74,8 +74,8 @@
   }
 
   /** A whole number within bounds, or what stands for it where it is absent. */
-  public int smallWithin(String name, int absent, int least, int most) {
-    int value = small(name, absent);
+  public int intWithin(String name, int absent, int least, int most) {
+    int value = intValue(name, absent);
     if (value >= least && value <= most) {
       return value;
     }
@@ -83,7 +83,7 @@
   }
 
   /** A whole number that must be there. */
-  public long whole(String name) {
+  public long longValue(String name) {
     String text = text(name);
     try {
       return Long.parseLong(text);
@@ -93,8 +93,8 @@
   }
 
   /** A whole number of 32 bits that must be there. */
-  public int small(String name) {
-    long value = whole(name);
+  public int intValue(String name) {
+    long value = longValue(name);
     if (value != (int) value) {
       throw unreadable(name, text(name));
     }
@@ -102,8 +102,8 @@
   }
 
   /** A whole number of 32 bits, or what stands for it where it is absent. */
-  public int small(String name, int absent) {
-    return has(name) ? small(name) : absent;
+  public int intValue(String name, int absent) {
+    return has(name) ? intValue(name) : absent;
   }
 
   /** Reads a yes or no, written 1 and 0 in messages and as words in settings. */
@@ -147,10 +147,10 @@
 
   private WireException outside(String name, Number value, Number least, Number most) {
     return new WireException(
-        message + " has " + name + "=" + value + ", expected " + least + " to " + most);
+        messageName + " has " + name + "=" + value + ", expected " + least + " to " + most);
   }
 
   private WireException unreadable(String name, String text) {
-    return new WireException(message + " has unreadable " + name + "=" + text);
+    return new WireException(messageName + " has unreadable " + name + "=" + text);
   }
 }
--- a/wire/src/main/java/coveladder/wire/SettingsReader.java
+++ b/wire/src/main/java/coveladder/wire/SettingsReader.java
@@ -29,22 +29,22 @@
     boolean retryAfter = f.flag("permissions.retryAfter");
     return new Settings(
         layout(f.text("familyInfo.layout", "mesh")),
-        f.smallWithin("familyInfo.selfNo", -1, -1, MOST),
-        f.smallWithin("instances", 1, 1, MOST),
+        f.intWithin("familyInfo.selfNo", -1, -1, MOST),
+        f.intWithin("instances", 1, 1, MOST),
         classes(f),
-        f.within("resolution", 1, SHORTEST, LONGEST),
-        f.smallWithin("permissions.attemptsCap", 1, 1, MOST),
+        f.numberWithin("resolution", 1, SHORTEST, LONGEST),
+        f.intWithin("permissions.attemptsCap", 1, 1, MOST),
         f.flag("permissions.cancel"),
         f.flag("permissions.mayProbe"),
         f.flag("permissions.peers"),
-        retryAfter ? f.within("permissions.maxRetryAfter", 0, 0, LONGEST) : 0,
+        retryAfter ? f.numberWithin("permissions.maxRetryAfter", 0, 0, LONGEST) : 0,
         f.text("discovery", "push").equals("ask"),
-        f.within("familyInfo.guard", 0, 0, LONGEST),
-        f.within("familyInfo.retransmit", 0, 0, LONGEST),
-        f.within("rules.coldFrom", 1, SHORTEST, 1),
-        f.within("rules.rampTime", 0, 0, LONGEST),
-        f.within("rules.fallMultiple", 1, SHORTEST, DEAREST),
-        f.within("rules.fall", 1000, SHORTEST, LONGEST));
+        f.numberWithin("familyInfo.guard", 0, 0, LONGEST),
+        f.numberWithin("familyInfo.retransmit", 0, 0, LONGEST),
+        f.numberWithin("rules.coldFrom", 1, SHORTEST, 1),
+        f.numberWithin("rules.rampTime", 0, 0, LONGEST),
+        f.numberWithin("rules.fallMultiple", 1, SHORTEST, DEAREST),
+        f.numberWithin("rules.fall", 1000, SHORTEST, LONGEST));
   }
 
   private static Layout layout(String word) {
@@ -56,19 +56,19 @@
   }
 
   private static List<CallClass> classes(Fields f) {
-    int count = f.small("classes.count");
+    int count = f.intValue("classes.count");
     double[] widths = perClass(f, "familyInfo.channelsNeeded", count);
     double[] holds = perClass(f, "familyInfo.classHold", count);
     List<CallClass> classes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String path = "classes." + i + ".";
       f.text(path + "giveUp");
-      double giveUp = f.within(path + "giveUp", 0, SHORTEST, LONGEST);
+      double giveUp = f.numberWithin(path + "giveUp", 0, SHORTEST, LONGEST);
       classes.add(
           new CallClass(
-              f.within(path + "worth", 1, 0, DEAREST),
-              f.within(path + "lateValue", 0, 0, 1),
-              f.within(path + "aim", giveUp, SHORTEST, LONGEST),
+              f.numberWithin(path + "worth", 1, 0, DEAREST),
+              f.numberWithin(path + "lateValue", 0, 0, 1),
+              f.numberWithin(path + "aim", giveUp, SHORTEST, LONGEST),
               giveUp,
               widths.length == 0 ? 1 : (int) widths[i],
               holds.length == 0 ? 1000 : holds[i],
@@ -85,7 +85,7 @@
     String word = f.text(path + "repeat", "safe");
     return switch (word) {
       case "safe" -> Double.POSITIVE_INFINITY;
-      case "keyed" -> f.within(path + "keyTtl", 0, 0, LONGEST);
+      case "keyed" -> f.numberWithin(path + "keyTtl", 0, 0, LONGEST);
       case "unsafe" -> 0;
       default ->
           throw new WireException(
@@ -102,7 +102,7 @@
     for (double value : values) {
       if (!(value > 0 && value <= LONGEST)) {
         throw new WireException(
-            f.message() + " has " + name + "=" + f.text(name) + ", expected numbers above 0");
+            f.messageName() + " has " + name + "=" + f.text(name) + ", expected numbers above 0");
       }
     }
     return values;
