--- a/serve/src/main/java/coveladder/serve/ClassArchive.java
+++ b/serve/src/main/java/coveladder/serve/ClassArchive.java
@@ -12,7 +12,7 @@
  * keep the classes that it loaded in an archive (JEP 350), from which later starts are quicker.
  */
 final class ClassArchive {
-  private static final int CALLS = 50;
+  private static final int TRAINING_CALLS = 50;
 
   private ClassArchive() {}
 
@@ -38,11 +38,11 @@
         List.of("-XX:+UseSerialGC", "-XX:ArchiveClassesAtExit=" + archive, "-jar", jar, "serve");
     try (LoopbackPlatform platform =
         new LoopbackPlatform(folder, LoopbackPlatform.command(options))) {
-      for (int i = 1; i <= CALLS; i++) {
-        String id = String.format("%016x", i);
-        platform.setUp(id);
-        platform.answer(id, "made");
-        platform.close(id, 16);
+      for (int callNumber = 1; callNumber <= TRAINING_CALLS; callNumber++) {
+        String id = String.format("%016x", callNumber);
+        platform.sendSetUp(id);
+        platform.answerCall(id, "made");
+        platform.releaseCall(id, 16);
       }
       platform.process().destroy();
       platform.process().waitFor(30, TimeUnit.SECONDS);
--- a/serve/src/main/java/coveladder/serve/Reloads.java
+++ b/serve/src/main/java/coveladder/serve/ConfigurationReloader.java
@@ -9,19 +9,19 @@
  * later is applied later. One that is asked for while another waits is that other; after the end
  * nothing more is applied.
  */
-final class Reloads {
-  private final ThreadPoolExecutor reader;
-  private final Reading reading;
+final class ConfigurationReloader {
+  private final ThreadPoolExecutor executor;
+  private final ReloadTask reloadTask;
 
   /** Reads and applies once, trying again where it must. */
-  interface Reading {
+  interface ReloadTask {
     /** Returns when it has applied what it read, or given up; ends early where interrupted. */
     void run() throws InterruptedException;
   }
 
-  Reloads(Reading reading) {
-    this.reading = reading;
-    this.reader =
+  ConfigurationReloader(ReloadTask reloadTask) {
+    this.reloadTask = reloadTask;
+    this.executor =
         new ThreadPoolExecutor(
             0,
             1,
@@ -37,11 +37,11 @@
   }
 
   /** Asks for a reading; from any thread. */
-  void ask() {
-    reader.execute(
+  void requestReload() {
+    executor.execute(
         () -> {
           try {
-            reading.run();
+            reloadTask.run();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -49,7 +49,7 @@
   }
 
   /** Ends: a reading under way is interrupted, and none begins. */
-  void end() {
-    reader.shutdownNow();
+  void stop() {
+    executor.shutdownNow();
   }
 }
--- a/serve/src/main/java/coveladder/serve/LoopClock.java
+++ b/serve/src/main/java/coveladder/serve/LoopClock.java
@@ -12,7 +12,7 @@
   }
 
   /** Nano time at which the Unix clock stood at nought. */
-  static long unixOrigin() {
+  static long unixEpochNanos() {
     return System.nanoTime() - System.currentTimeMillis() * 1_000_000L;
   }
 
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public Stop after(double delay, Runnable task) {
-    return loop.after(delay, task)::cancel;
+  public Stop after(double delayMillis, Runnable task) {
+    return loop.after(delayMillis, task)::cancel;
   }
 }
--- a/serve/src/main/java/coveladder/serve/LoopbackPlatform.java
+++ b/serve/src/main/java/coveladder/serve/LoopbackPlatform.java
@@ -24,74 +24,76 @@
  * caller, and the controller as a process of its own. The build trains the class archive with it.
  */
 final class LoopbackPlatform implements AutoCloseable {
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-  private static final int PATIENCE = 20_000;
-  private final ServerSocket farSwitch = new ServerSocket(0, 50, HERE);
-  private ServerSocket journal = new ServerSocket(0, 50, HERE);
-  private final Path config;
-  private final int port;
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+  private static final int TIMEOUT_MILLIS = 20_000;
+  private final ServerSocket switchServer = new ServerSocket(0, 50, LOOPBACK);
+  private ServerSocket journalServer = new ServerSocket(0, 50, LOOPBACK);
+  private final Path configurationFile;
+  private final int controllerPort;
   private final int journalPort;
   private final Process process;
-  private Socket events;
-  private Socket toSwitch;
-  private Socket caller;
-  private BufferedReader fromController;
+  private Socket journalConnection;
+  private Socket switchConnection;
+  private Socket callerConnection;
+  private BufferedReader switchReader;
 
   /**
    * Starts a controller by its command line, in a folder for its file, and waits until it serves.
    */
   LoopbackPlatform(Path folder, List<String> command) throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 50, HERE)) {
-      port = free.getLocalPort();
+    try (ServerSocket portReservation = new ServerSocket(0, 50, LOOPBACK)) {
+      controllerPort = portReservation.getLocalPort();
     }
-    config = folder.resolve("config.json");
-    journalPort = journal.getLocalPort();
-    configure(journalPort);
+    configurationFile = folder.resolve("config.json");
+    journalPort = journalServer.getLocalPort();
+    writeConfiguration(journalPort);
     ProcessBuilder builder = new ProcessBuilder(command);
-    builder.environment().put("RELAY_CONFIG", config.toString());
+    builder.environment().put("RELAY_CONFIG", configurationFile.toString());
     process = builder.inheritIO().start();
-    farSwitch.setSoTimeout(PATIENCE);
-    journal.setSoTimeout(PATIENCE);
-    events = journal.accept();
+    switchServer.setSoTimeout(TIMEOUT_MILLIS);
+    journalServer.setSoTimeout(TIMEOUT_MILLIS);
+    journalConnection = journalServer.accept();
     acceptSwitch();
-    callAnew();
+    connectCaller();
   }
 
   /** Takes the next connection to the switch, and tells the state of its group. */
   void acceptSwitch() throws IOException {
-    toSwitch = farSwitch.accept();
-    toSwitch.setSoTimeout(PATIENCE);
-    fromController = reader(toSwitch);
-    say(toSwitch, "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"free:9;size:9\"}}");
+    switchConnection = switchServer.accept();
+    switchConnection.setSoTimeout(TIMEOUT_MILLIS);
+    switchReader = reader(switchConnection);
+    sendLine(
+        switchConnection,
+        "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"free:9;size:9\"}}");
   }
 
   /** The switch ends its connection, and takes the next. */
-  void breakSwitch() throws IOException {
-    toSwitch.close();
+  void reconnectSwitch() throws IOException {
+    switchConnection.close();
     acceptSwitch();
   }
 
   /** A caller connects; what it sends from now on goes there. */
-  Socket callAnew() throws IOException {
-    caller = new Socket(HERE, port);
-    caller.setSoTimeout(PATIENCE);
-    return caller;
+  Socket connectCaller() throws IOException {
+    callerConnection = new Socket(LOOPBACK, controllerPort);
+    callerConnection.setSoTimeout(TIMEOUT_MILLIS);
+    return callerConnection;
   }
 
   /** The journal service goes away, its connections with it. */
-  void loseJournal() throws IOException {
-    journal.close();
-    events.close();
+  void stopJournal() throws IOException {
+    journalServer.close();
+    journalConnection.close();
   }
 
   /** It is back at its address; what the controller asks it. */
-  String journalBack() throws IOException {
-    journal = new ServerSocket();
-    journal.setReuseAddress(true);
-    journal.bind(new InetSocketAddress(HERE, journalPort));
-    journal.setSoTimeout(PATIENCE);
-    events = journal.accept();
-    return asked();
+  String restartJournal() throws IOException {
+    journalServer = new ServerSocket();
+    journalServer.setReuseAddress(true);
+    journalServer.bind(new InetSocketAddress(LOOPBACK, journalPort));
+    journalServer.setSoTimeout(TIMEOUT_MILLIS);
+    journalConnection = journalServer.accept();
+    return readJournalRequest();
   }
 
   /** The command line of a controller on a class path, with options of the virtual machine. */
@@ -103,7 +105,7 @@
   }
 
   /** Writes the configuration with the journal service at another port. */
-  void configure(int journalPort) throws IOException {
+  void writeConfiguration(int journalPort) throws IOException {
     String text =
         """
         {"name":"n0","listen":"127.0.0.1:%d","seed":"1","journal":"127.0.0.1:%d",
@@ -114,12 +116,14 @@
           "familyInfo":{"selfNo":0},"instances":2,"permissions":{"attemptsCap":6,"cancel":true},
           "rules":{"drainGrace":250}}}
         """;
-    Files.writeString(config, text.formatted(port, journalPort, farSwitch.getLocalPort()));
+    Files.writeString(
+        configurationFile,
+        text.formatted(controllerPort, journalPort, switchServer.getLocalPort()));
   }
 
   /** What the controller asked the journal service. */
-  String asked() throws IOException {
-    return reader(events).readLine();
+  String readJournalRequest() throws IOException {
+    return reader(journalConnection).readLine();
   }
 
   static BufferedReader reader(Socket socket) throws IOException {
@@ -127,44 +131,49 @@
         new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
   }
 
-  private static void say(Socket socket, String line) throws IOException {
+  private static void sendLine(Socket socket, String line) throws IOException {
     socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
   /** Sends a set-up; the line that the switch gets. */
-  String setUp(String id) throws IOException {
-    Map<Integer, byte[]> with = new LinkedHashMap<>();
-    with.put(CallerMessage.CLASS, "voice".getBytes(StandardCharsets.UTF_8));
-    with.put(CallerMessage.LEFT, "5000".getBytes(StandardCharsets.UTF_8));
-    with.put(CallerMessage.FIGURES, "dest:1;width:1".getBytes(StandardCharsets.UTF_8));
-    with.put(CallerMessage.DESCRIPTION, "offer".getBytes(StandardCharsets.UTF_8));
-    CallerMessage setUp = new CallerMessage(CallerMessage.SET_UP, id, with);
-    caller.getOutputStream().write(CallerCodec.encode(setUp));
-    return fromController.readLine();
+  String sendSetUp(String callId) throws IOException {
+    Map<Integer, byte[]> parameters = new LinkedHashMap<>();
+    parameters.put(CallerMessage.CLASS, "voice".getBytes(StandardCharsets.UTF_8));
+    parameters.put(CallerMessage.LEFT, "5000".getBytes(StandardCharsets.UTF_8));
+    parameters.put(CallerMessage.FIGURES, "dest:1;width:1".getBytes(StandardCharsets.UTF_8));
+    parameters.put(CallerMessage.DESCRIPTION, "offer".getBytes(StandardCharsets.UTF_8));
+    CallerMessage setUp = new CallerMessage(CallerMessage.SET_UP, callId, parameters);
+    callerConnection.getOutputStream().write(CallerCodec.encode(setUp));
+    return switchReader.readLine();
   }
 
   /** The switch answers a set-up; what the caller gets. */
-  CallerMessage answer(String id, String text) throws IOException, MalformedException {
-    say(
-        toSwitch,
-        "{\"msg\":\"ready\",\"sid\":\"" + id + "\",\"attrs\":{},\"text\":\"" + text + "\"}");
-    return hear();
+  CallerMessage answerCall(String callId, String description)
+      throws IOException, MalformedException {
+    sendLine(
+        switchConnection,
+        "{\"msg\":\"ready\",\"sid\":\""
+            + callId
+            + "\",\"attrs\":{},\"text\":\""
+            + description
+            + "\"}");
+    return readCallerMessage();
   }
 
   /** The switch ends a call; what the caller gets. */
-  CallerMessage close(String id, int code) throws IOException, MalformedException {
-    say(
-        toSwitch,
+  CallerMessage releaseCall(String callId, int cause) throws IOException, MalformedException {
+    sendLine(
+        switchConnection,
         "{\"msg\":\"close\",\"sid\":\""
-            + id
+            + callId
             + "\",\"attrs\":{\"load\":\"free:9;size:9\"},\"code\":"
-            + code
+            + cause
             + "}");
-    return hear();
+    return readCallerMessage();
   }
 
-  private CallerMessage hear() throws IOException, MalformedException {
-    DataInputStream in = new DataInputStream(caller.getInputStream());
+  private CallerMessage readCallerMessage() throws IOException, MalformedException {
+    DataInputStream in = new DataInputStream(callerConnection.getInputStream());
     return CallerCodec.decode(in.readNBytes(in.readUnsignedShort()));
   }
 
@@ -176,9 +185,12 @@
   @Override
   public void close() throws IOException {
     process.destroyForcibly();
-    for (AutoCloseable end : new AutoCloseable[] {caller, toSwitch, events, farSwitch, journal}) {
+    for (AutoCloseable resource :
+        new AutoCloseable[] {
+          callerConnection, switchConnection, journalConnection, switchServer, journalServer
+        }) {
       try {
-        end.close();
+        resource.close();
       } catch (Exception e) {
         throw new IOException("a socket did not close: " + e.getMessage(), e);
       }
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -22,38 +22,39 @@
  */
 public final class Serve {
   private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
-  private static final int HUP = 1;
-  private static final int QUEUE = 8_192;
-  private static final int WAITING = 1 << 19;
-  private static final double CONNECT_WITHIN = 500;
-  private static final double TELL_EVERY = 5_000;
-  private static final int USABLE_TRIES = 20;
-  private static final long USABLE_AGAIN = 100;
+  private static final int HUP_NUMBER = 1;
+  private static final int QUEUE_CAPACITY = 8_192;
+  private static final int MAX_QUEUED_BYTES = 1 << 19;
+  private static final double CONNECT_TIMEOUT_MILLIS = 500;
+  private static final double STATE_LOG_INTERVAL_MILLIS = 5_000;
+  private static final int MAX_RELOAD_ATTEMPTS = 20;
+  private static final long RELOAD_RETRY_MILLIS = 100;
 
-  private final Path file;
+  private final Path configurationFile;
   private final EventLoop loop;
   private final IsupFront front;
   private final SocketWires wires;
-  private final Reloads reloads = new Reloads(this::reload);
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final ConfigurationReloader reloader = new ConfigurationReloader(this::reload);
+  private final CountDownLatch terminated = new CountDownLatch(1);
 
-  private Serve(Path file, PlatformSettings settings) throws IOException {
-    this.file = file;
-    this.loop = new EventLoop("controller", LoopClock.unixOrigin(), QUEUE);
+  private Serve(Path configurationFile, PlatformSettings settings) throws IOException {
+    this.configurationFile = configurationFile;
+    this.loop = new EventLoop("controller", LoopClock.unixEpochNanos(), QUEUE_CAPACITY);
     Limits limits = Limits.within(settings.descriptors(), settings.policy().controllerCount());
-    this.wires = new SocketWires(Sockets.streamsOnly(1), loop, bounds(settings, limits));
+    this.wires = new SocketWires(Sockets.streamsOnly(1), loop, streamLimits(settings, limits));
     this.front =
         new IsupFront(
             settings,
             limits,
             wires,
             new LoopClock(loop),
-            deeds -> new NestedThresholdPolicy(settings.policy(), settings.seed(), deeds));
+            actions -> new NestedThresholdPolicy(settings.policy(), settings.seed(), actions));
   }
 
-  private static Streams.Limits bounds(PlatformSettings settings, Limits limits) {
-    int accepted = limits.callerLinks() + 8;
-    return new Streams.Limits(settings.descriptors(), accepted, WAITING, CONNECT_WITHIN);
+  private static Streams.Limits streamLimits(PlatformSettings settings, Limits limits) {
+    int maxAccepted = limits.callerLinks() + 8;
+    return new Streams.Limits(
+        settings.descriptors(), maxAccepted, MAX_QUEUED_BYTES, CONNECT_TIMEOUT_MILLIS);
   }
 
   /** Runs the command and exits: 0 ended as told, 2 wrongly asked. */
@@ -62,18 +63,18 @@
   }
 
   /** Serves until told to end; the exit status. */
-  public static int run(String config) {
-    if (config == null || config.isEmpty()) {
+  public static int run(String configurationPath) {
+    if (configurationPath == null || configurationPath.isEmpty()) {
       LOG.error("RELAY_CONFIG is not set, expected the path of a configuration file");
       return 2;
     }
     try {
-      Path file = Path.of(config);
-      PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(file));
-      new Serve(file, settings).serve(settings);
+      Path configurationFile = Path.of(configurationPath);
+      PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(configurationFile));
+      new Serve(configurationFile, settings).serve(settings);
       return 0;
     } catch (WireException | IOException e) {
-      LOG.error("{}: {}", config, e.getMessage());
+      LOG.error("{}: {}", configurationPath, e.getMessage());
       return 2;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -83,58 +84,61 @@
 
   private void serve(PlatformSettings settings) throws IOException, InterruptedException {
     Signals.setHandler("TERM", () -> loop.execute(this::terminate));
-    Signals.setHandler("HUP", reloads::ask);
-    if (Signals.isIgnored(HUP)) {
+    Signals.setHandler("HUP", reloader::requestReload);
+    if (Signals.isIgnored(HUP_NUMBER)) {
       LOG.warn("SIGHUP was set to be ignored before the start: no new configuration will be read");
     }
     loop.after(0, front::start);
-    loop.after(TELL_EVERY, this::tell);
+    loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
     wires.listen(
         new InetSocketAddress(settings.listen().host(), settings.listen().port()), front::accepted);
     loop.start();
     LOG.info(
         "{} serves at {}:{}", settings.name(), settings.listen().host(), settings.listen().port());
-    ended.await();
+    terminated.await();
     loop.close();
   }
 
   private void terminate() {
     LOG.info("told to end; {}", front.state());
-    reloads.end();
+    reloader.stop();
     front.terminate();
-    awaitEnd();
+    awaitTermination();
   }
 
-  private void awaitEnd() {
+  private void awaitTermination() {
     if (front.ended()) {
       LOG.info("ends; {}; {}", front.state(), front.counters().news());
-      ended.countDown();
+      terminated.countDown();
     } else {
-      loop.after(20, this::awaitEnd);
+      loop.after(20, this::awaitTermination);
     }
   }
 
   /** Reads the file again; it may be half written, so an unusable one is read some times more. */
   private void reload() throws InterruptedException {
     String problem = "";
-    for (int i = 0; i < USABLE_TRIES; i++) {
+    for (int attempt = 0; attempt < MAX_RELOAD_ATTEMPTS; attempt++) {
       try {
-        PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(file));
+        PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(configurationFile));
         loop.execute(() -> front.reconfigure(settings));
         LOG.info("configuration read again; journal service at {}", settings.journal());
         return;
       } catch (WireException | IOException e) {
         problem = e.getMessage();
       }
-      Thread.sleep(USABLE_AGAIN);
+      Thread.sleep(RELOAD_RETRY_MILLIS);
     }
-    LOG.error("the configuration stays as it was; {}: {}", file, problem);
+    LOG.error("the configuration stays as it was; {}: {}", configurationFile, problem);
   }
 
-  private void tell() {
-    String news = front.counters().news();
+  private void logState() {
+    String changedCounters = front.counters().news();
     LOG.info(
-        "{}; faults {}{}", front.state(), loop.failedTasks(), news.isEmpty() ? "" : "; " + news);
-    loop.after(TELL_EVERY, this::tell);
+        "{}; faults {}{}",
+        front.state(),
+        loop.failedTasks(),
+        changedCounters.isEmpty() ? "" : "; " + changedCounters);
+    loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
   }
 }
--- a/serve/src/main/java/coveladder/serve/Signals.java
+++ b/serve/src/main/java/coveladder/serve/Signals.java
@@ -12,7 +12,7 @@
  * reflection, and where there is none the signal keeps its usual effect.
  */
 public final class Signals {
-  private static final Path STATUS = Path.of("/proc/self/status");
+  private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
 
   private Signals() {}
 
@@ -23,7 +23,7 @@
    * @param number of the signal, such as 1 for HUP
    */
   public static boolean isIgnored(int number) {
-    try (Stream<String> lines = Files.lines(STATUS)) {
+    try (Stream<String> lines = Files.lines(PROCESS_STATUS)) {
       return lines
           .filter(line -> line.startsWith("SigIgn:"))
           .anyMatch(line -> (mask(line) >> (number - 1) & 1) == 1);
@@ -39,20 +39,22 @@
   /** Runs a task at each signal of that name, such as HUP; whether that is possible here. */
   public static boolean setHandler(String name, Runnable task) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object taken =
+      Class<?> signalClass = Class.forName("sun.misc.Signal");
+      Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+      Object handlerProxy =
           Proxy.newProxyInstance(
               Signals.class.getClassLoader(),
-              new Class<?>[] {handler},
+              new Class<?>[] {handlerClass},
               (proxy, method, arguments) -> {
                 if (method.getName().equals("handle")) {
                   task.run();
                 }
                 return null;
               });
-      Object made = signal.getConstructor(String.class).newInstance(name);
-      signal.getMethod("handle", signal, handler).invoke(null, made, taken);
+      Object signalObject = signalClass.getConstructor(String.class).newInstance(name);
+      signalClass
+          .getMethod("handle", signalClass, handlerClass)
+          .invoke(null, signalObject, handlerProxy);
       return true;
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
       return false;
--- a/serve/src/main/java/coveladder/serve/SocketWires.java
+++ b/serve/src/main/java/coveladder/serve/SocketWires.java
@@ -13,21 +13,21 @@
 /** The front's connections on sockets: what is read is handed to the loop, within a bound. */
 final class SocketWires implements Wires, Streams.Listener {
   /** Most octets that were read and wait for the loop. */
-  private static final int MOST_READ = 1 << 20;
+  private static final int MAX_UNREAD_BYTES = 1 << 20;
 
   private final EventLoop loop;
   private final Streams streams;
-  private final ByteBudget unread = new ByteBudget(MOST_READ);
+  private final ByteBudget unreadBudget = new ByteBudget(MAX_UNREAD_BYTES);
   private Function<Wire, WireUser> acceptor = wire -> null;
 
-  SocketWires(Sockets sockets, EventLoop loop, Streams.Limits bounds) {
+  SocketWires(Sockets sockets, EventLoop loop, Streams.Limits limits) {
     this.loop = loop;
-    this.streams = new Streams(sockets, loop, bounds, this);
+    this.streams = new Streams(sockets, loop, limits, this);
   }
 
   /** Takes callers' connections at an address, and hands each on. */
-  void listen(InetSocketAddress address, Function<Wire, WireUser> to) throws IOException {
-    acceptor = to;
+  void listen(InetSocketAddress address, Function<Wire, WireUser> newAcceptor) throws IOException {
+    acceptor = newAcceptor;
     streams.listen(address);
   }
 
@@ -92,23 +92,23 @@
   }
 
   @Override
-  public void read(Stream stream, byte[] octets, double arrived) {
-    if (!unread.acquire(octets.length)) {
+  public void read(Stream stream, byte[] octets, double arrivedMillis) {
+    if (!unreadBudget.acquire(octets.length)) {
       return;
     }
-    Runnable hear =
+    Runnable deliver =
         () -> {
-          unread.release(octets.length);
+          unreadBudget.release(octets.length);
           if (streams.contains(stream)) {
-            user(stream).received(octets, arrived);
+            user(stream).received(octets, arrivedMillis);
           }
         };
     if (!stream.outbound()) {
-      loop.executePrioritized(hear);
-    } else if (stream.attachment() instanceof WireUser known && known.urgent()) {
-      loop.executeUrgent(hear);
+      loop.executePrioritized(deliver);
+    } else if (stream.attachment() instanceof WireUser wireUser && wireUser.urgent()) {
+      loop.executeUrgent(deliver);
     } else {
-      loop.execute(hear);
+      loop.execute(deliver);
     }
   }
 }
--- a/serve/src/test/java/coveladder/serve/ReloadsTest.java
+++ b/serve/src/test/java/coveladder/serve/ConfigurationReloaderTest.java
@@ -12,41 +12,41 @@
 
 /** Two words to read the configuration again, and one to end, in any order. */
 @Timeout(30)
-class ReloadsTest {
+class ConfigurationReloaderTest {
   private final List<String> applied = new CopyOnWriteArrayList<>();
-  private final AtomicInteger file = new AtomicInteger(1);
+  private final AtomicInteger fileVersion = new AtomicInteger(1);
   private final CountDownLatch firstRead = new CountDownLatch(1);
   private final CountDownLatch secondApplied = new CountDownLatch(1);
 
   /** The first reading is held up after it read, until the second is applied if it can be. */
-  private void reading() throws InterruptedException {
-    int found = file.get();
-    if (found == 1) {
+  private void reload() throws InterruptedException {
+    int version = fileVersion.get();
+    if (version == 1) {
       firstRead.countDown();
       secondApplied.await(500, TimeUnit.MILLISECONDS);
     }
-    applied.add("configuration " + found);
-    if (found == 2) {
+    applied.add("configuration " + version);
+    if (version == 2) {
       secondApplied.countDown();
     }
   }
 
   @Test
   void anOlderConfigurationIsNeverAppliedAfterANewerOne() throws Exception {
-    Reloads reloads = new Reloads(this::reading);
-    reloads.ask();
+    ConfigurationReloader reloader = new ConfigurationReloader(this::reload);
+    reloader.requestReload();
     firstRead.await();
-    file.set(2);
-    reloads.ask();
+    fileVersion.set(2);
+    reloader.requestReload();
     secondApplied.await();
     assertEquals(List.of("configuration 1", "configuration 2"), applied);
   }
 
   @Test
-  void afterTheEndNothingIsApplied() throws Exception {
+  void nothingIsAppliedAfterStop() throws Exception {
     CountDownLatch interrupted = new CountDownLatch(1);
-    Reloads reloads =
-        new Reloads(
+    ConfigurationReloader reloader =
+        new ConfigurationReloader(
             () -> {
               firstRead.countDown();
               try {
@@ -56,11 +56,11 @@
                 interrupted.countDown();
               }
             });
-    reloads.ask();
+    reloader.requestReload();
     firstRead.await();
-    reloads.end();
+    reloader.stop();
     interrupted.await();
-    reloads.ask();
+    reloader.requestReload();
     assertEquals(List.of(), applied);
   }
 }
--- a/serve/src/test/java/coveladder/serve/DescriptorsTest.java
+++ b/serve/src/test/java/coveladder/serve/DescriptorLimitTest.java
@@ -17,9 +17,9 @@
 
 /** A process with few descriptors, which idle clients would take up. */
 @Timeout(90)
-class DescriptorsTest {
-  private static final int LIMIT = 256;
-  private static final int IDLE = 2 * LIMIT;
+class DescriptorLimitTest {
+  private static final int DESCRIPTOR_LIMIT = 256;
+  private static final int IDLE_CLIENTS = 2 * DESCRIPTOR_LIMIT;
 
   @TempDir private Path folder;
 
@@ -27,12 +27,18 @@
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     String classes = System.getProperty("java.class.path");
     String line =
-        "ulimit -n " + LIMIT + "; exec " + java + " -cp '" + classes + "' coveladder.serve.Serve";
+        "ulimit -n "
+            + DESCRIPTOR_LIMIT
+            + "; exec "
+            + java
+            + " -cp '"
+            + classes
+            + "' coveladder.serve.Serve";
     return List.of("sh", "-c", line);
   }
 
   /** One that asks once, and keeps its connection; whether it was kept, or closed for room. */
-  private static boolean kept(Socket client) throws IOException {
+  private static boolean remainsOpen(Socket client) throws IOException {
     try {
       client
           .getOutputStream()
@@ -44,30 +50,29 @@
   }
 
   @Test
-  void idleClientsLeaveADescriptorForSwitchJournalAndRealCallersWhileDiscoveryIsDown()
-      throws Exception {
-    List<Socket> idle = new ArrayList<>();
+  void idleClientsLeaveDescriptorsForOtherConnectionsWhileTheJournalIsDown() throws Exception {
+    List<Socket> idleClients = new ArrayList<>();
     try (LoopbackPlatform platform = new LoopbackPlatform(folder, command())) {
-      assertEquals("tail 1", platform.asked());
-      platform.loseJournal();
-      int kept = 0;
-      for (int i = 0; i < IDLE; i++) {
-        Socket client = platform.callAnew();
-        idle.add(client);
-        kept += kept(client) ? 1 : 0;
+      assertEquals("tail 1", platform.readJournalRequest());
+      platform.stopJournal();
+      int openCount = 0;
+      for (int i = 0; i < IDLE_CLIENTS; i++) {
+        Socket client = platform.connectCaller();
+        idleClients.add(client);
+        openCount += remainsOpen(client) ? 1 : 0;
       }
-      assertTrue(kept > LIMIT / 2, "served of the idle ones: " + kept);
-      platform.breakSwitch();
-      platform.callAnew();
+      assertTrue(openCount > DESCRIPTOR_LIMIT / 2, "served of the idle ones: " + openCount);
+      platform.reconnectSwitch();
+      platform.connectCaller();
       for (int i = 1; i <= 20; i++) {
         String id = String.format("%016x", i);
-        assertTrue(platform.setUp(id).contains(id));
-        assertEquals(CallerMessage.ANSWER, platform.answer(id, "made").type());
-        assertEquals(16, platform.close(id, 16).cause());
+        assertTrue(platform.sendSetUp(id).contains(id));
+        assertEquals(CallerMessage.ANSWER, platform.answerCall(id, "made").type());
+        assertEquals(16, platform.releaseCall(id, 16).cause());
       }
-      assertEquals("tail 1", platform.journalBack());
+      assertEquals("tail 1", platform.restartJournal());
     } finally {
-      for (Socket client : idle) {
+      for (Socket client : idleClients) {
         client.close();
       }
     }
--- a/serve/src/test/java/coveladder/serve/ServeTest.java
+++ b/serve/src/test/java/coveladder/serve/ServeTest.java
@@ -20,29 +20,30 @@
  */
 @Timeout(60)
 class ServeTest {
-  private static final String ID = "9b1f03aa5c7e2d41";
+  private static final String CALL_ID = "9b1f03aa5c7e2d41";
 
   @TempDir private Path folder;
 
   @Test
-  void itServesCallsFollowsANewConfigurationAndEndsWhenTold() throws Exception {
+  void servesCallsFollowsANewConfigurationAndEndsOnSigterm() throws Exception {
     List<String> options =
         List.of("-cp", System.getProperty("java.class.path"), "coveladder.serve.Serve", "serve");
     try (LoopbackPlatform platform =
             new LoopbackPlatform(folder, LoopbackPlatform.command(options));
-        ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      assertEquals("tail 1", platform.asked());
-      String open = platform.setUp(ID);
-      assertTrue(open.contains("\"sid\":\"" + ID + "\"") && open.contains("\"text\":\"offer\""));
-      CallerMessage answer = platform.answer(ID, "made");
+        ServerSocket newJournal = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      assertEquals("tail 1", platform.readJournalRequest());
+      String open = platform.sendSetUp(CALL_ID);
+      assertTrue(
+          open.contains("\"sid\":\"" + CALL_ID + "\"") && open.contains("\"text\":\"offer\""));
+      CallerMessage answer = platform.answerCall(CALL_ID, "made");
       assertEquals(CallerMessage.ANSWER, answer.type());
       assertEquals("made", answer.text(CallerMessage.DESCRIPTION));
-      assertEquals(16, platform.close(ID, 16).cause());
-      platform.configure(moved.getLocalPort());
+      assertEquals(16, platform.releaseCall(CALL_ID, 16).cause());
+      platform.writeConfiguration(newJournal.getLocalPort());
       signal(platform.process(), "HUP");
-      moved.setSoTimeout(20_000);
-      try (Socket again = moved.accept()) {
-        assertEquals("tail 1", LoopbackPlatform.reader(again).readLine());
+      newJournal.setSoTimeout(20_000);
+      try (Socket journalConnection = newJournal.accept()) {
+        assertEquals("tail 1", LoopbackPlatform.reader(journalConnection).readLine());
       }
       signal(platform.process(), "TERM");
       assertTrue(platform.process().waitFor(20, TimeUnit.SECONDS));
@@ -52,22 +53,23 @@
 
   /** As the deploy file starts it: a parent that ignores SIGHUP, as nohup does, changes nothing. */
   @Test
-  void aNewConfigurationIsReadAlsoWhereTheParentIgnoresItsSignal() throws Exception {
-    String deploy = Files.readString(Path.of("..", "deploy", "balancer.toml"));
-    String run = deploy.lines().filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
-    String starter = run.substring(run.indexOf("exec"), run.indexOf("java "));
+  void readsANewConfigurationEvenIfTheParentIgnoresSighup() throws Exception {
+    String deployFile = Files.readString(Path.of("..", "deploy", "balancer.toml"));
+    String runLine =
+        deployFile.lines().filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
+    String launcher = runLine.substring(runLine.indexOf("exec"), runLine.indexOf("java "));
     String classes = System.getProperty("java.class.path");
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     String line =
-        "trap '' HUP; " + starter + java + " -cp '" + classes + "' coveladder.serve.Serve serve";
+        "trap '' HUP; " + launcher + java + " -cp '" + classes + "' coveladder.serve.Serve serve";
     try (LoopbackPlatform platform = new LoopbackPlatform(folder, List.of("sh", "-c", line));
-        ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      assertEquals("tail 1", platform.asked());
-      platform.configure(moved.getLocalPort());
+        ServerSocket newJournal = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      assertEquals("tail 1", platform.readJournalRequest());
+      platform.writeConfiguration(newJournal.getLocalPort());
       signal(platform.process(), "HUP");
-      moved.setSoTimeout(20_000);
-      try (Socket again = moved.accept()) {
-        assertEquals("tail 1", LoopbackPlatform.reader(again).readLine());
+      newJournal.setSoTimeout(20_000);
+      try (Socket journalConnection = newJournal.accept()) {
+        assertEquals("tail 1", LoopbackPlatform.reader(journalConnection).readLine());
       }
     }
   }
--- a/simhost/src/main/java/coveladder/simhost/EventReader.java
+++ b/simhost/src/main/java/coveladder/simhost/EventReader.java
@@ -19,65 +19,67 @@
 final class EventReader {
   private EventReader() {}
 
-  static Exchange exchange(Fields f) {
+  static Exchange exchange(Fields fields) {
     return new Exchange(
-        f.text("switch"),
-        f.intValue("number"),
-        ReportReader.state(f.text("state")),
-        f.number("startTime", 0));
+        fields.text("switch"),
+        fields.intValue("number"),
+        ReportReader.state(fields.text("state")),
+        fields.number("startTime", 0));
   }
 
-  static DirectoryUpdate news(Fields f, Map<Integer, List<Exchange>> manifests) {
-    String mode = f.text("mode");
+  static DirectoryUpdate directoryUpdate(
+      Fields fields, Map<Integer, List<Exchange>> directoryPages) {
+    String mode = fields.text("mode");
     if (mode.equals("failed")) {
       return new DirectoryUpdate(true, false, List.of());
     }
     if (!List.of("delta", "full", "cached").contains(mode)) {
       throw new WireException("VIEW has unknown mode=" + mode);
     }
-    List<Exchange> entries = manifests.get(f.intValue("page"));
+    List<Exchange> entries = directoryPages.get(fields.intValue("page"));
     if (entries == null) {
-      throw new WireException("VIEW names page=" + f.text("page") + ", never sent");
+      throw new WireException("VIEW names page=" + fields.text("page") + ", never sent");
     }
     return new DirectoryUpdate(false, !mode.equals("delta"), List.copyOf(entries));
   }
 
-  static Call call(Fields f) {
+  static Call call(Fields fields) {
     return new Call(
-        f.text("handle"),
-        f.intValue("type"),
-        f.number("patienceLeft"),
-        f.intValue("slotsNeeded", 1),
-        f.text("subject", ""),
-        f.intValue("terminatesAt"),
-        f.flag("midflow"),
-        f.flag("isRetry"),
-        f.flag("returned"));
+        fields.text("handle"),
+        fields.intValue("type"),
+        fields.number("patienceLeft"),
+        fields.intValue("slotsNeeded", 1),
+        fields.text("subject", ""),
+        fields.intValue("terminatesAt"),
+        fields.flag("midflow"),
+        fields.flag("isRetry"),
+        fields.flag("returned"));
   }
 
-  static Established stands(Fields f) {
-    return new Established(f.text("handle"), f.intValue("trial"), f.number("spent"));
+  static Established established(Fields fields) {
+    return new Established(fields.text("handle"), fields.intValue("trial"), fields.number("spent"));
   }
 
-  static AttemptEnded ended(Fields f, String[] columns) {
-    Outcome outcome = outcome(f.text("ending"));
-    int note = f.intValue("note", 0);
+  static AttemptEnded attemptEnded(Fields fields, String[] loadColumns) {
+    Outcome outcome = outcome(fields.text("ending"));
+    int note = fields.intValue("note", 0);
     Reason reason = ReportReader.reason(note);
     return new AttemptEnded(
-        f.text("handle"),
-        f.intValue("trial"),
-        f.text("switch"),
+        fields.text("handle"),
+        fields.intValue("trial"),
+        fields.text("switch"),
         outcome,
         reason,
         reason == Reason.PROCESSOR_FULL ? note / 16 : 0,
-        f.number("spent"),
-        f.flag("terminal"),
-        load(f, columns));
+        fields.number("spent"),
+        fields.flag("terminal"),
+        load(fields, loadColumns));
   }
 
-  static LoadReport report(Fields f, String[] columns) {
-    boolean good = f.text("ending").equals("done");
-    return new LoadReport(f.text("switch"), good, f.number("spent", 0), load(f, columns));
+  static LoadReport loadReport(Fields fields, String[] loadColumns) {
+    boolean answered = fields.text("ending").equals("done");
+    return new LoadReport(
+        fields.text("switch"), answered, fields.number("spent", 0), load(fields, loadColumns));
   }
 
   private static Outcome outcome(String word) {
@@ -94,7 +96,7 @@
     };
   }
 
-  private static Load load(Fields f, String[] columns) {
-    return ReportReader.load(f.numbers("report"), columns);
+  private static Load load(Fields fields, String[] loadColumns) {
+    return ReportReader.load(fields.numbers("report"), loadColumns);
   }
 }
--- a/simhost/src/main/java/coveladder/simhost/Main.java
+++ b/simhost/src/main/java/coveladder/simhost/Main.java
@@ -29,7 +29,7 @@
       throws IOException {
     switch (args.length == 1 ? args[0] : "") {
       case "simhost" -> {
-        return host(in, out, err);
+        return runSimHost(in, out, err);
       }
       case "--help" -> out.println(USAGE);
       case "--version" -> out.println("coveladder " + version());
@@ -41,7 +41,8 @@
     return 0;
   }
 
-  private static int host(InputStream in, PrintStream out, PrintStream err) throws IOException {
+  private static int runSimHost(InputStream in, PrintStream out, PrintStream err)
+      throws IOException {
     try {
       var reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
       new SimHost(reader, out).run();
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -20,11 +20,11 @@
   private final PrintStream out;
   private final StringBuilder reply = new StringBuilder();
   private final Map<Integer, Instance> instances = new HashMap<>();
-  private final Map<Integer, List<CallPolicy.Exchange>> manifests = new HashMap<>();
-  private List<CallPolicy.Exchange> manifest = new ArrayList<>();
+  private final Map<Integer, List<CallPolicy.Exchange>> directoryPages = new HashMap<>();
+  private List<CallPolicy.Exchange> currentPage = new ArrayList<>();
   private String turn = "none";
   private double now;
-  private int line;
+  private int lineNumber;
 
   SimHost(BufferedReader in, PrintStream out) {
     this.in = in;
@@ -33,128 +33,135 @@
 
   /** Answers batches until the input ends. */
   void run() throws IOException {
-    for (String text = in.readLine(); text != null; text = in.readLine()) {
-      line++;
+    for (String line = in.readLine(); line != null; line = in.readLine()) {
+      lineNumber++;
       try {
-        read(text);
+        handleLine(line);
       } catch (WireException | IllegalArgumentException e) {
-        throw new WireException("batch " + turn + " line " + line + ": " + e.getMessage());
+        throw new WireException("batch " + turn + " line " + lineNumber + ": " + e.getMessage());
       }
     }
   }
 
-  private void read(String text) {
-    Fields f = Fields.parseLine(text);
-    switch (f.messageName()) {
-      case "BATCH" -> begin(f);
-      case "GO" -> flush();
-      case "START" -> start(f);
-      case "SHUTDOWN" -> instance(f).policy = null;
-      case "MANIFEST" -> manifests.put(f.intValue("page"), manifest = new ArrayList<>());
-      case "ROW" -> manifest.add(EventReader.exchange(f));
+  private void handleLine(String line) {
+    Fields fields = Fields.parseLine(line);
+    switch (fields.messageName()) {
+      case "BATCH" -> beginBatch(fields);
+      case "GO" -> endBatch();
+      case "START" -> startInstance(fields);
+      case "SHUTDOWN" -> requireInstance(fields).policy = null;
+      case "MANIFEST" ->
+          directoryPages.put(fields.intValue("page"), currentPage = new ArrayList<>());
+      case "ROW" -> currentPage.add(EventReader.exchange(fields));
       case "VIEW" -> {
-        var news = EventReader.news(f, manifests);
-        deliver(f, (policy, host) -> policy.onDirectoryUpdate(now, news));
+        var update = EventReader.directoryUpdate(fields, directoryPages);
+        deliver(fields, (policy, instance) -> policy.onDirectoryUpdate(now, update));
       }
       case "CALL" -> {
-        var call = EventReader.call(f);
-        deliver(f, (policy, host) -> policy.onCall(now, call));
+        var call = EventReader.call(fields);
+        deliver(fields, (policy, instance) -> policy.onCall(now, call));
       }
       case "HEADERS" -> {
-        var stands = EventReader.stands(f);
-        deliver(f, (policy, host) -> policy.onEstablished(now, stands));
+        var established = EventReader.established(fields);
+        deliver(fields, (policy, instance) -> policy.onEstablished(now, established));
       }
       case "CLOSED_ATTEMPT" ->
           deliver(
-              f, (policy, host) -> policy.onAttemptEnded(now, EventReader.ended(f, host.columns)));
+              fields,
+              (policy, instance) ->
+                  policy.onAttemptEnded(
+                      now, EventReader.attemptEnded(fields, instance.loadColumns)));
       case "CANCELLED_BY_CLIENT" -> {
-        String call = f.text("handle");
-        deliver(f, (policy, host) -> policy.onCallerAbandoned(now, call));
+        String call = fields.text("handle");
+        deliver(fields, (policy, instance) -> policy.onCallerAbandoned(now, call));
       }
       case "TIMEOUT_FIRED" -> {
-        long label = f.longValue("label");
-        deliver(f, (policy, host) -> policy.onTimer(now, label));
+        long label = fields.longValue("label");
+        deliver(fields, (policy, instance) -> policy.onTimer(now, label));
       }
       case "STATUS_BACK" ->
           deliver(
-              f, (policy, host) -> policy.onLoadReport(now, EventReader.report(f, host.columns)));
+              fields,
+              (policy, instance) ->
+                  policy.onLoadReport(now, EventReader.loadReport(fields, instance.loadColumns)));
       case "PEER" -> {
-        int author = f.intValue("author");
-        byte[] payload = payload(f.text("payload", "-"));
-        deliver(f, (policy, host) -> policy.onPeerMessage(now, author, payload));
+        int author = fields.intValue("author");
+        byte[] payload = decodePayload(fields.text("payload", "-"));
+        deliver(fields, (policy, instance) -> policy.onPeerMessage(now, author, payload));
       }
       default -> {}
     }
   }
 
-  private void begin(Fields f) {
-    turn = f.text("turn");
-    line = 1;
-    now = f.number("atTime");
+  private void beginBatch(Fields fields) {
+    turn = fields.text("turn");
+    lineNumber = 1;
+    now = fields.number("atTime");
   }
 
-  private void flush() {
+  private void endBatch() {
     reply.append("YIELD turn=").append(turn).append('\n');
     out.print(reply);
     out.flush();
     reply.setLength(0);
   }
 
-  private void start(Fields f) {
-    int who = f.intValue("who");
-    var actions = new WireActions(who, reply);
-    var policy = new NestedThresholdPolicy(SettingsReader.read(f), f.longValue("salt"), actions);
-    var host = new Instance(who, policy, f.list("stats.fields"));
-    instances.put(who, host);
-    attempt(host, (p, h) -> p.onStart(now));
+  private void startInstance(Fields fields) {
+    int id = fields.intValue("who");
+    var actions = new WireActions(id, reply);
+    var newPolicy =
+        new NestedThresholdPolicy(SettingsReader.read(fields), fields.longValue("salt"), actions);
+    var newInstance = new Instance(id, newPolicy, fields.list("stats.fields"));
+    instances.put(id, newInstance);
+    deliverCatchingPanic(newInstance, (policy, instance) -> policy.onStart(now));
   }
 
-  private Instance instance(Fields f) {
-    Instance host = instances.get(f.intValue("who"));
-    if (host == null) {
+  private Instance requireInstance(Fields fields) {
+    Instance instance = instances.get(fields.intValue("who"));
+    if (instance == null) {
       throw new WireException(
-          f.messageName() + " for instance " + f.text("who") + ", never started");
+          fields.messageName() + " for instance " + fields.text("who") + ", never started");
     }
-    return host;
+    return instance;
   }
 
-  private void deliver(Fields f, Delivery delivery) {
-    Instance host = instance(f);
-    if (host.policy != null) {
-      attempt(host, delivery);
+  private void deliver(Fields fields, PolicyEvent event) {
+    Instance instance = requireInstance(fields);
+    if (instance.policy != null) {
+      deliverCatchingPanic(instance, event);
     }
   }
 
-  private void attempt(Instance host, Delivery delivery) {
+  private void deliverCatchingPanic(Instance instance, PolicyEvent event) {
     try {
-      delivery.to(host.policy, host);
+      event.deliverTo(instance.policy, instance);
     } catch (WireException e) {
       throw e;
     } catch (RuntimeException e) {
-      reply.append("PANIC who=").append(host.who).append(" noteText=");
+      reply.append("PANIC who=").append(instance.id).append(" noteText=");
       reply.append(String.valueOf(e).replace('\n', ' ')).append('\n');
     }
   }
 
-  private static byte[] payload(String text) {
+  private static byte[] decodePayload(String text) {
     return text.equals("-") ? new byte[0] : Base64.getDecoder().decode(text);
   }
 
   /** One event on its way to one instance. */
-  private interface Delivery {
-    void to(CallPolicy policy, Instance host);
+  private interface PolicyEvent {
+    void deliverTo(CallPolicy policy, Instance instance);
   }
 
   /** An instance; its policy is null after a shutdown. */
   private static final class Instance {
-    final int who;
-    final String[] columns;
+    final int id;
+    final String[] loadColumns;
     CallPolicy policy;
 
-    Instance(int who, CallPolicy policy, String[] columns) {
-      this.who = who;
+    Instance(int id, CallPolicy policy, String[] loadColumns) {
+      this.id = id;
       this.policy = policy;
-      this.columns = columns;
+      this.loadColumns = loadColumns;
     }
   }
 }
--- a/wire/src/main/java/coveladder/wire/Fields.java
+++ b/wire/src/main/java/coveladder/wire/Fields.java
@@ -9,26 +9,26 @@
   private final Map<String, String> values;
 
   /** Takes values that were read already; the message's name stands in errors. */
-  public Fields(String message, Map<String, String> values) {
-    this.messageName = message;
+  public Fields(String messageName, Map<String, String> values) {
+    this.messageName = messageName;
     this.values = values;
   }
 
   /** Reads the pairs that follow the first word of a line; words without a sign are skipped. */
   public static Fields parseLine(String line) {
     int end = line.indexOf(' ');
-    String message = end < 0 ? line : line.substring(0, end);
+    String messageName = end < 0 ? line : line.substring(0, end);
     Map<String, String> values = new HashMap<>();
     while (end >= 0) {
       int start = end + 1;
       end = line.indexOf(' ', start);
       String pair = line.substring(start, end < 0 ? line.length() : end);
-      int sign = pair.indexOf('=');
-      if (sign > 0) {
-        values.put(pair.substring(0, sign), pair.substring(sign + 1));
+      int equalsIndex = pair.indexOf('=');
+      if (equalsIndex > 0) {
+        values.put(pair.substring(0, equalsIndex), pair.substring(equalsIndex + 1));
       }
     }
-    return new Fields(message, values);
+    return new Fields(messageName, values);
   }
 
   /** The name of the message. */
@@ -50,36 +50,36 @@
   }
 
   /** A value, or what stands for it where it is absent. */
-  public String text(String name, String absent) {
-    return has(name) ? values.get(name) : absent;
+  public String text(String name, String defaultValue) {
+    return has(name) ? values.get(name) : defaultValue;
   }
 
   /** A finite number that must be there. */
   public double number(String name) {
-    return parse(name, text(name));
+    return parseNumber(name, text(name));
   }
 
   /** A finite number, or what stands for it where it is absent. */
-  public double number(String name, double absent) {
-    return has(name) ? number(name) : absent;
+  public double number(String name, double defaultValue) {
+    return has(name) ? number(name) : defaultValue;
   }
 
   /** A number within bounds, or what stands for it where it is absent. */
-  public double numberWithin(String name, double absent, double least, double most) {
-    double value = number(name, absent);
-    if (value >= least && value <= most) {
+  public double numberWithin(String name, double defaultValue, double min, double max) {
+    double value = number(name, defaultValue);
+    if (value >= min && value <= max) {
       return value;
     }
-    throw outside(name, value, least, most);
+    throw outOfRange(name, value, min, max);
   }
 
   /** A whole number within bounds, or what stands for it where it is absent. */
-  public int intWithin(String name, int absent, int least, int most) {
-    int value = intValue(name, absent);
-    if (value >= least && value <= most) {
+  public int intWithin(String name, int defaultValue, int min, int max) {
+    int value = intValue(name, defaultValue);
+    if (value >= min && value <= max) {
       return value;
     }
-    throw outside(name, value, least, most);
+    throw outOfRange(name, value, min, max);
   }
 
   /** A whole number that must be there. */
@@ -102,8 +102,8 @@
   }
 
   /** A whole number of 32 bits, or what stands for it where it is absent. */
-  public int intValue(String name, int absent) {
-    return has(name) ? intValue(name) : absent;
+  public int intValue(String name, int defaultValue) {
+    return has(name) ? intValue(name) : defaultValue;
   }
 
   /** Reads a yes or no, written 1 and 0 in messages and as words in settings. */
@@ -128,12 +128,12 @@
     String[] texts = list(name);
     double[] numbers = new double[texts.length];
     for (int i = 0; i < texts.length; i++) {
-      numbers[i] = parse(name, texts[i]);
+      numbers[i] = parseNumber(name, texts[i]);
     }
     return numbers;
   }
 
-  private double parse(String name, String text) {
+  private double parseNumber(String name, String text) {
     try {
       double value = Double.parseDouble(text);
       if (Double.isFinite(value)) {
@@ -145,9 +145,9 @@
     throw unreadable(name, text);
   }
 
-  private WireException outside(String name, Number value, Number least, Number most) {
+  private WireException outOfRange(String name, Number value, Number min, Number max) {
     return new WireException(
-        messageName + " has " + name + "=" + value + ", expected " + least + " to " + most);
+        messageName + " has " + name + "=" + value + ", expected " + min + " to " + max);
   }
 
   private WireException unreadable(String name, String text) {
--- a/wire/src/main/java/coveladder/wire/ReportReader.java
+++ b/wire/src/main/java/coveladder/wire/ReportReader.java
@@ -14,28 +14,28 @@
     if (values.length == 0) {
       return Load.UNKNOWN;
     }
-    return load(name -> value(name, values, columns));
+    return load(name -> valueInColumn(name, values, columns));
   }
 
   /** Load figures by the settings' names; NaN or below nought: not told. */
-  public static Load load(ToDoubleFunction<String> named) {
+  public static Load load(ToDoubleFunction<String> figureByName) {
     return new Load(
-        told(named, "free"),
-        told(named, "size"),
-        told(named, "busy_reqs"),
-        told(named, "pending"),
-        told(named, "cpu_share"),
-        told(named, "svc_ms"),
-        told(named, "can_take"),
-        told(named, "hold_back"));
+        reportedFigure(figureByName, "free"),
+        reportedFigure(figureByName, "size"),
+        reportedFigure(figureByName, "busy_reqs"),
+        reportedFigure(figureByName, "pending"),
+        reportedFigure(figureByName, "cpu_share"),
+        reportedFigure(figureByName, "svc_ms"),
+        reportedFigure(figureByName, "can_take"),
+        reportedFigure(figureByName, "hold_back"));
   }
 
-  private static double told(ToDoubleFunction<String> named, String name) {
-    double value = named.applyAsDouble(name);
+  private static double reportedFigure(ToDoubleFunction<String> figureByName, String name) {
+    double value = figureByName.applyAsDouble(name);
     return value < 0 ? Double.NaN : value;
   }
 
-  private static double value(String name, double[] values, String[] columns) {
+  private static double valueInColumn(String name, double[] values, String[] columns) {
     for (int i = 0; i < columns.length && i < values.length; i++) {
       if (columns[i].equals(name)) {
         return values[i];
--- a/wire/src/main/java/coveladder/wire/SettingsReader.java
+++ b/wire/src/main/java/coveladder/wire/SettingsReader.java
@@ -12,11 +12,11 @@
  */
 public final class SettingsReader {
   /** Shortest time that must pass, and longest time of all, ms: eleven days. */
-  private static final double SHORTEST = 0.001;
+  private static final double MIN_POSITIVE = 0.001;
 
-  private static final double LONGEST = 1e9;
-  private static final double DEAREST = 1e9;
-  private static final int MOST = 1_000_000;
+  private static final double MAX_DURATION_MILLIS = 1e9;
+  private static final double MAX_WORTH_OR_MULTIPLE = 1e9;
+  private static final int MAX_COUNT = 1_000_000;
 
   private SettingsReader() {}
 
@@ -25,26 +25,28 @@
    *
    * @throws WireException naming a path that lacks or cannot be read
    */
-  public static Settings read(Fields f) {
-    boolean retryAfter = f.flag("permissions.retryAfter");
+  public static Settings read(Fields fields) {
+    boolean retryAfter = fields.flag("permissions.retryAfter");
     return new Settings(
-        layout(f.text("familyInfo.layout", "mesh")),
-        f.intWithin("familyInfo.selfNo", -1, -1, MOST),
-        f.intWithin("instances", 1, 1, MOST),
-        classes(f),
-        f.numberWithin("resolution", 1, SHORTEST, LONGEST),
-        f.intWithin("permissions.attemptsCap", 1, 1, MOST),
-        f.flag("permissions.cancel"),
-        f.flag("permissions.mayProbe"),
-        f.flag("permissions.peers"),
-        retryAfter ? f.numberWithin("permissions.maxRetryAfter", 0, 0, LONGEST) : 0,
-        f.text("discovery", "push").equals("ask"),
-        f.numberWithin("familyInfo.guard", 0, 0, LONGEST),
-        f.numberWithin("familyInfo.retransmit", 0, 0, LONGEST),
-        f.numberWithin("rules.coldFrom", 1, SHORTEST, 1),
-        f.numberWithin("rules.rampTime", 0, 0, LONGEST),
-        f.numberWithin("rules.fallMultiple", 1, SHORTEST, DEAREST),
-        f.numberWithin("rules.fall", 1000, SHORTEST, LONGEST));
+        layout(fields.text("familyInfo.layout", "mesh")),
+        fields.intWithin("familyInfo.selfNo", -1, -1, MAX_COUNT),
+        fields.intWithin("instances", 1, 1, MAX_COUNT),
+        classes(fields),
+        fields.numberWithin("resolution", 1, MIN_POSITIVE, MAX_DURATION_MILLIS),
+        fields.intWithin("permissions.attemptsCap", 1, 1, MAX_COUNT),
+        fields.flag("permissions.cancel"),
+        fields.flag("permissions.mayProbe"),
+        fields.flag("permissions.peers"),
+        retryAfter
+            ? fields.numberWithin("permissions.maxRetryAfter", 0, 0, MAX_DURATION_MILLIS)
+            : 0,
+        fields.text("discovery", "push").equals("ask"),
+        fields.numberWithin("familyInfo.guard", 0, 0, MAX_DURATION_MILLIS),
+        fields.numberWithin("familyInfo.retransmit", 0, 0, MAX_DURATION_MILLIS),
+        fields.numberWithin("rules.coldFrom", 1, MIN_POSITIVE, 1),
+        fields.numberWithin("rules.rampTime", 0, 0, MAX_DURATION_MILLIS),
+        fields.numberWithin("rules.fallMultiple", 1, MIN_POSITIVE, MAX_WORTH_OR_MULTIPLE),
+        fields.numberWithin("rules.fall", 1000, MIN_POSITIVE, MAX_DURATION_MILLIS));
   }
 
   private static Layout layout(String word) {
@@ -55,63 +57,69 @@
     };
   }
 
-  private static List<CallClass> classes(Fields f) {
-    int count = f.intValue("classes.count");
-    double[] widths = perClass(f, "familyInfo.channelsNeeded", count);
-    double[] holds = perClass(f, "familyInfo.classHold", count);
+  private static List<CallClass> classes(Fields fields) {
+    int count = fields.intValue("classes.count");
+    double[] widths = perClass(fields, "familyInfo.channelsNeeded", count);
+    double[] holds = perClass(fields, "familyInfo.classHold", count);
     List<CallClass> classes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      String path = "classes." + i + ".";
-      f.text(path + "giveUp");
-      double giveUp = f.numberWithin(path + "giveUp", 0, SHORTEST, LONGEST);
+      String prefix = "classes." + i + ".";
+      fields.text(prefix + "giveUp");
+      double callerTimeout =
+          fields.numberWithin(prefix + "giveUp", 0, MIN_POSITIVE, MAX_DURATION_MILLIS);
       classes.add(
           new CallClass(
-              f.numberWithin(path + "worth", 1, 0, DEAREST),
-              f.numberWithin(path + "lateValue", 0, 0, 1),
-              f.numberWithin(path + "aim", giveUp, SHORTEST, LONGEST),
-              giveUp,
+              fields.numberWithin(prefix + "worth", 1, 0, MAX_WORTH_OR_MULTIPLE),
+              fields.numberWithin(prefix + "lateValue", 0, 0, 1),
+              fields.numberWithin(prefix + "aim", callerTimeout, MIN_POSITIVE, MAX_DURATION_MILLIS),
+              callerTimeout,
               widths.length == 0 ? 1 : (int) widths[i],
               holds.length == 0 ? 1000 : holds[i],
-              pools(f, i),
-              repeatFor(f, path),
-              !f.text(path + "repeat", "safe").equals("unsafe")
-                  && f.text(path + "keyScope", "all").equals("all")));
+              pools(fields, i),
+              repeatWindow(fields, prefix),
+              !fields.text(prefix + "repeat", "safe").equals("unsafe")
+                  && fields.text(prefix + "keyScope", "all").equals("all")));
     }
     return classes;
   }
 
   /** A key of a zone is taken as one of a cell, as the policy knows no zones: that is in both. */
-  private static double repeatFor(Fields f, String path) {
-    String word = f.text(path + "repeat", "safe");
+  private static double repeatWindow(Fields fields, String prefix) {
+    String word = fields.text(prefix + "repeat", "safe");
     return switch (word) {
       case "safe" -> Double.POSITIVE_INFINITY;
-      case "keyed" -> f.numberWithin(path + "keyTtl", 0, 0, LONGEST);
+      case "keyed" -> fields.numberWithin(prefix + "keyTtl", 0, 0, MAX_DURATION_MILLIS);
       case "unsafe" -> 0;
       default ->
           throw new WireException(
-              "unusable setting " + path + "repeat=" + word + ", expected safe, keyed or unsafe");
+              "unusable setting " + prefix + "repeat=" + word + ", expected safe, keyed or unsafe");
     };
   }
 
-  private static double[] perClass(Fields f, String name, int count) {
-    double[] values = f.numbers(name);
+  private static double[] perClass(Fields fields, String path, int count) {
+    double[] values = fields.numbers(path);
     if (values.length != 0 && values.length != count) {
       throw new WireException(
-          "unusable setting " + name + "=" + f.text(name) + " for classes.count=" + count);
+          "unusable setting " + path + "=" + fields.text(path) + " for classes.count=" + count);
     }
     for (double value : values) {
-      if (!(value > 0 && value <= LONGEST)) {
+      if (!(value > 0 && value <= MAX_DURATION_MILLIS)) {
         throw new WireException(
-            f.messageName() + " has " + name + "=" + f.text(name) + ", expected numbers above 0");
+            fields.messageName()
+                + " has "
+                + path
+                + "="
+                + fields.text(path)
+                + ", expected numbers above 0");
       }
     }
     return values;
   }
 
   /** Reads the pools of a class, whether the list of lists is written by paths or by signs. */
-  private static List<Integer> pools(Fields f, int type) {
+  private static List<Integer> pools(Fields fields, int classNumber) {
     List<Integer> pools = new ArrayList<>();
-    for (double pool : f.numbers("familyInfo.allowedPools." + type)) {
+    for (double pool : fields.numbers("familyInfo.allowedPools." + classNumber)) {
       pools.add((int) pool);
     }
     return pools;
