--- a/serve/src/main/java/coveladder/serve/ClassArchive.java
+++ b/serve/src/main/java/coveladder/serve/ClassArchive.java
@@ -8,15 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Run by the build: lets a controller take some calls and end, with the virtual machine told to
- * keep the classes that it loaded in an archive (JEP 350), from which later starts are quicker.
+ * Creates the class-data archive (JEP 350) during the build: runs a controller for a few calls and
+ * lets the virtual machine archive the classes that it loaded, so that later starts are faster.
  */
 final class ClassArchive {
   private static final int TRAINING_CALLS = 50;
 
   private ClassArchive() {}
 
-  /** Trains with a jar and writes an archive, both named from the folder it is run in. */
+  /**
+   * Creates the archive.
+   *
+   * @param arguments path of the jar to run and path of the archive to write, relative to the
+   *     working directory
+   */
   public static void main(String[] arguments) throws Exception {
     String jar = arguments[0];
     String archive = arguments[1];
--- a/serve/src/main/java/coveladder/serve/ConfigurationReloader.java
+++ b/serve/src/main/java/coveladder/serve/ConfigurationReloader.java
@@ -5,17 +5,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads a configuration again when asked, off the loop, one reading after the other: what is read
- * later is applied later. One that is asked for while another waits is that other; after the end
- * nothing more is applied.
+ * Reloads the configuration on request, on a thread other than the event loop. Reloads run one
+ * after the other, so that a newer configuration is never replaced by an older one. A request made
+ * while another is queued is merged with it. Nothing is applied after a stop.
  */
 final class ConfigurationReloader {
   private final ThreadPoolExecutor executor;
   private final ReloadTask reloadTask;
 
-  /** Reads and applies once, trying again where it must. */
+  /** Reads the configuration and applies it. */
   interface ReloadTask {
-    /** Returns when it has applied what it read, or given up; ends early where interrupted. */
+    /**
+     * Returns once the configuration is applied or the attempts to read it are used up.
+     *
+     * @throws InterruptedException if the reloader was stopped
+     */
     void run() throws InterruptedException;
   }
 
@@ -36,7 +40,7 @@
             new ThreadPoolExecutor.DiscardPolicy());
   }
 
-  /** Asks for a reading; from any thread. */
+  /** Requests a reload; may be called from any thread. */
   void requestReload() {
     executor.execute(
         () -> {
@@ -48,7 +52,7 @@
         });
   }
 
-  /** Ends: a reading under way is interrupted, and none begins. */
+  /** Interrupts a running reload and prevents later ones. */
   void stop() {
     executor.shutdownNow();
   }
--- a/serve/src/main/java/coveladder/serve/LoopClock.java
+++ b/serve/src/main/java/coveladder/serve/LoopClock.java
@@ -3,7 +3,10 @@
 import coveladder.core.Clockwork;
 import coveladder.net.EventLoop;
 
-/** The loop's clock for the core; it tells Unix milliseconds and never steps back. */
+/**
+ * Gives the core the clock and timers of the event loop. The clock is in Unix milliseconds and
+ * never steps back.
+ */
 final class LoopClock implements Clockwork {
   private final EventLoop loop;
 
@@ -11,7 +14,7 @@
     this.loop = loop;
   }
 
-  /** Nano time at which the Unix clock stood at nought. */
+  /** Returns the value of {@link System#nanoTime} that corresponds to the Unix epoch, ns. */
   static long unixEpochNanos() {
     return System.nanoTime() - System.currentTimeMillis() * 1_000_000L;
   }
--- a/serve/src/main/java/coveladder/serve/LoopbackPlatform.java
+++ b/serve/src/main/java/coveladder/serve/LoopbackPlatform.java
@@ -20,12 +20,15 @@
 import java.util.Map;
 
 /**
- * The least that a controller needs around it, on loopback: one switch, a journal service, one
- * caller, and the controller as a process of its own. The build trains the class archive with it.
+ * A minimal platform on the loopback interface: one switch, a journal service and one caller, with
+ * the controller as a separate process. The build also uses it to record the class archive.
  */
 final class LoopbackPlatform implements AutoCloseable {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+
+  /** Time allowed for each connection and each message, ms. */
   private static final int TIMEOUT_MILLIS = 20_000;
+
   private final ServerSocket switchServer = new ServerSocket(0, 50, LOOPBACK);
   private ServerSocket journalServer = new ServerSocket(0, 50, LOOPBACK);
   private final Path configurationFile;
@@ -38,7 +41,10 @@
   private BufferedReader switchReader;
 
   /**
-   * Starts a controller by its command line, in a folder for its file, and waits until it serves.
+   * Starts a controller and waits until it serves.
+   *
+   * @param folder folder for the configuration file
+   * @param command command line of the controller
    */
   LoopbackPlatform(Path folder, List<String> command) throws IOException {
     try (ServerSocket portReservation = new ServerSocket(0, 50, LOOPBACK)) {
@@ -57,7 +63,7 @@
     connectCaller();
   }
 
-  /** Takes the next connection to the switch, and tells the state of its group. */
+  /** Accepts the controller's next connection to the switch and reports nine free circuits. */
   void acceptSwitch() throws IOException {
     switchConnection = switchServer.accept();
     switchConnection.setSoTimeout(TIMEOUT_MILLIS);
@@ -67,26 +73,26 @@
         "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"free:9;size:9\"}}");
   }
 
-  /** The switch ends its connection, and takes the next. */
+  /** Closes the switch's connection and accepts the next one. */
   void reconnectSwitch() throws IOException {
     switchConnection.close();
     acceptSwitch();
   }
 
-  /** A caller connects; what it sends from now on goes there. */
+  /** Connects a new caller; later messages are sent and read on its connection. */
   Socket connectCaller() throws IOException {
     callerConnection = new Socket(LOOPBACK, controllerPort);
     callerConnection.setSoTimeout(TIMEOUT_MILLIS);
     return callerConnection;
   }
 
-  /** The journal service goes away, its connections with it. */
+  /** Stops the journal service and closes its connection. */
   void stopJournal() throws IOException {
     journalServer.close();
     journalConnection.close();
   }
 
-  /** It is back at its address; what the controller asks it. */
+  /** Restarts the journal service at its address and returns the controller's request. */
   String restartJournal() throws IOException {
     journalServer = new ServerSocket();
     journalServer.setReuseAddress(true);
@@ -96,7 +102,11 @@
     return readJournalRequest();
   }
 
-  /** The command line of a controller on a class path, with options of the virtual machine. */
+  /**
+   * Returns the command line that starts a controller.
+   *
+   * @param options arguments of the java command
+   */
   static List<String> command(List<String> options) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -104,7 +114,7 @@
     return command;
   }
 
-  /** Writes the configuration with the journal service at another port. */
+  /** Writes the configuration file with the journal service at the given port. */
   void writeConfiguration(int journalPort) throws IOException {
     String text =
         """
@@ -121,7 +131,7 @@
         text.formatted(controllerPort, journalPort, switchServer.getLocalPort()));
   }
 
-  /** What the controller asked the journal service. */
+  /** Returns the controller's request to the journal service. */
   String readJournalRequest() throws IOException {
     return reader(journalConnection).readLine();
   }
@@ -135,7 +145,7 @@
     socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Sends a set-up; the line that the switch gets. */
+  /** Sends a set-up from the caller and returns the line that the switch receives. */
   String sendSetUp(String callId) throws IOException {
     Map<Integer, byte[]> parameters = new LinkedHashMap<>();
     parameters.put(CallerMessage.CLASS, "voice".getBytes(StandardCharsets.UTF_8));
@@ -147,7 +157,7 @@
     return switchReader.readLine();
   }
 
-  /** The switch answers a set-up; what the caller gets. */
+  /** Answers a set-up at the switch and returns the message that the caller receives. */
   CallerMessage answerCall(String callId, String description)
       throws IOException, MalformedException {
     sendLine(
@@ -160,7 +170,7 @@
     return readCallerMessage();
   }
 
-  /** The switch ends a call; what the caller gets. */
+  /** Releases a call at the switch and returns the message that the caller receives. */
   CallerMessage releaseCall(String callId, int cause) throws IOException, MalformedException {
     sendLine(
         switchConnection,
@@ -177,7 +187,7 @@
     return CallerCodec.decode(in.readNBytes(in.readUnsignedShort()));
   }
 
-  /** The controller's process. */
+  /** Returns the controller's process. */
   Process process() {
     return process;
   }
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -17,17 +17,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * `coveladder serve`: one call controller on the users' platform, in the foreground, told all by
- * the file that RELAY_CONFIG names. Loads nothing that it does not need.
+ * The command {@code coveladder serve}: runs one call controller on the users' platform in the
+ * foreground, configured by the file that RELAY_CONFIG names. Only needed classes are loaded.
  */
 public final class Serve {
   private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+
+  /** Signal number of HUP. */
   private static final int HUP_NUMBER = 1;
+
+  /** Maximum number of tasks queued for the event loop. */
   private static final int QUEUE_CAPACITY = 8_192;
+
+  /** Maximum number of bytes queued on one connection. */
   private static final int MAX_QUEUED_BYTES = 1 << 19;
+
   private static final double CONNECT_TIMEOUT_MILLIS = 500;
   private static final double STATE_LOG_INTERVAL_MILLIS = 5_000;
+
+  /** Maximum number of times that an unusable configuration file is read. */
   private static final int MAX_RELOAD_ATTEMPTS = 20;
+
+  /** Delay between two of these attempts, ms. */
   private static final long RELOAD_RETRY_MILLIS = 100;
 
   private final Path configurationFile;
@@ -57,12 +68,17 @@
         settings.descriptors(), maxAccepted, MAX_QUEUED_BYTES, CONNECT_TIMEOUT_MILLIS);
   }
 
-  /** Runs the command and exits: 0 ended as told, 2 wrongly asked. */
+  /** Runs the command and exits: 0 ended on request, 2 unusable configuration. */
   public static void main(String[] arguments) {
     System.exit(run(System.getenv("RELAY_CONFIG")));
   }
 
-  /** Serves until told to end; the exit status. */
+  /**
+   * Serves until the process is asked to end.
+   *
+   * @param configurationPath path of the configuration file
+   * @return the exit status: 0 ended on request, 2 unusable configuration
+   */
   public static int run(String configurationPath) {
     if (configurationPath == null || configurationPath.isEmpty()) {
       LOG.error("RELAY_CONFIG is not set, expected the path of a configuration file");
@@ -115,7 +131,7 @@
     }
   }
 
-  /** Reads the file again; it may be half written, so an unusable one is read some times more. */
+  /** Reloads the file; it may be only partly written, so an unusable file is read again. */
   private void reload() throws InterruptedException {
     String problem = "";
     for (int attempt = 0; attempt < MAX_RELOAD_ATTEMPTS; attempt++) {
--- a/serve/src/main/java/coveladder/serve/Signals.java
+++ b/serve/src/main/java/coveladder/serve/Signals.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Signals of the operating system. The JDK has no public name for them; its own class is reached by
- * reflection, and where there is none the signal keeps its usual effect.
+ * Handlers for signals of the operating system. The JDK has no public API for signals, so its
+ * internal class is called by reflection; where it is missing, signals keep their default effect.
  */
 public final class Signals {
   private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
@@ -17,10 +17,11 @@
   private Signals() {}
 
   /**
-   * Whether a signal is ignored by word of whoever started this process, as by nohup: the virtual
-   * machine then leaves it so, and a task set for it never runs. False where that cannot be known.
+   * Returns whether the process was started with a signal ignored, as nohup does for HUP. The
+   * virtual machine then leaves it ignored, and its handler never runs. False if this cannot be
+   * determined.
    *
-   * @param number of the signal, such as 1 for HUP
+   * @param number number of the signal, such as 1 for HUP
    */
   public static boolean isIgnored(int number) {
     try (Stream<String> lines = Files.lines(PROCESS_STATUS)) {
@@ -36,7 +37,13 @@
     return Long.parseUnsignedLong(line.substring(line.indexOf(':') + 1).trim(), 16);
   }
 
-  /** Runs a task at each signal of that name, such as HUP; whether that is possible here. */
+  /**
+   * Runs a task each time a signal arrives.
+   *
+   * @param name name of the signal, such as HUP
+   * @param task called on a thread of the virtual machine
+   * @return false if handlers cannot be set on this system
+   */
   public static boolean setHandler(String name, Runnable task) {
     try {
       Class<?> signalClass = Class.forName("sun.misc.Signal");
--- a/serve/src/main/java/coveladder/serve/SocketWires.java
+++ b/serve/src/main/java/coveladder/serve/SocketWires.java
@@ -10,9 +10,12 @@
 import java.net.InetSocketAddress;
 import java.util.function.Function;
 
-/** The front's connections on sockets: what is read is handed to the loop, within a bound. */
+/**
+ * Implements the connections of the protocol front end on sockets. Bytes that were read are handed
+ * to the event loop; a budget limits those that wait for it.
+ */
 final class SocketWires implements Wires, Streams.Listener {
-  /** Most octets that were read and wait for the loop. */
+  /** Maximum number of bytes that were read and wait for the event loop. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
   private final EventLoop loop;
@@ -25,13 +28,17 @@
     this.streams = new Streams(sockets, loop, limits, this);
   }
 
-  /** Takes callers' connections at an address, and hands each on. */
+  /**
+   * Accepts the connections of callers at an address.
+   *
+   * @param newAcceptor called with each accepted connection; returns the receiver of its events
+   */
   void listen(InetSocketAddress address, Function<Wire, WireUser> newAcceptor) throws IOException {
     acceptor = newAcceptor;
     streams.listen(address);
   }
 
-  /** One stream as the front knows it. */
+  /** A stream behind the interface of the front end. */
   private final class SocketWire implements Wire {
     private final Stream stream;
 
--- a/serve/src/test/java/coveladder/serve/ConfigurationReloaderTest.java
+++ b/serve/src/test/java/coveladder/serve/ConfigurationReloaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Two words to read the configuration again, and one to end, in any order. */
+/** Reloads and a stop that are requested while an earlier reload is still running. */
 @Timeout(30)
 class ConfigurationReloaderTest {
   private final List<String> applied = new CopyOnWriteArrayList<>();
@@ -18,7 +18,7 @@
   private final CountDownLatch firstRead = new CountDownLatch(1);
   private final CountDownLatch secondApplied = new CountDownLatch(1);
 
-  /** The first reading is held up after it read, until the second is applied if it can be. */
+  /** Delays the first reload after its read, so that the second could overtake it. */
   private void reload() throws InterruptedException {
     int version = fileVersion.get();
     if (version == 1) {
--- a/serve/src/test/java/coveladder/serve/DescriptorLimitTest.java
+++ b/serve/src/test/java/coveladder/serve/DescriptorLimitTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process with few descriptors, which idle clients would take up. */
+/** A process with few file descriptors, which the connections of idle clients could use up. */
 @Timeout(90)
 class DescriptorLimitTest {
   private static final int DESCRIPTOR_LIMIT = 256;
@@ -37,7 +37,7 @@
     return List.of("sh", "-c", line);
   }
 
-  /** One that asks once, and keeps its connection; whether it was kept, or closed for room. */
+  /** Sends one request and returns whether it was answered, not closed to free a descriptor. */
   private static boolean remainsOpen(Socket client) throws IOException {
     try {
       client
@@ -61,7 +61,7 @@
         idleClients.add(client);
         openCount += remainsOpen(client) ? 1 : 0;
       }
-      assertTrue(openCount > DESCRIPTOR_LIMIT / 2, "served of the idle ones: " + openCount);
+      assertTrue(openCount > DESCRIPTOR_LIMIT / 2, "idle clients served: " + openCount);
       platform.reconnectSwitch();
       platform.connectCaller();
       for (int i = 1; i <= 20; i++) {
--- a/serve/src/test/java/coveladder/serve/ServeTest.java
+++ b/serve/src/test/java/coveladder/serve/ServeTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program as a process of its own, with a switch, a journal service and a caller on sockets.
+ * Runs the program as a separate process with a switch, a journal service and a caller on sockets.
  */
 @Timeout(60)
 class ServeTest {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** As the deploy file starts it: a parent that ignores SIGHUP, as nohup does, changes nothing. */
+  /** The deploy file's launcher restores SIGHUP when the parent ignores it, as nohup does. */
   @Test
   void readsANewConfigurationEvenIfTheParentIgnoresSighup() throws Exception {
     String deployFile = Files.readString(Path.of("..", "deploy", "balancer.toml"));
--- a/simhost/src/main/java/coveladder/simhost/EventReader.java
+++ b/simhost/src/main/java/coveladder/simhost/EventReader.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the lines of events into the records of the policy. */
+/** Converts the fields of event lines to the event records of the policy. */
 final class EventReader {
   private EventReader() {}
 
--- a/simhost/src/main/java/coveladder/simhost/Main.java
+++ b/simhost/src/main/java/coveladder/simhost/Main.java
@@ -8,7 +8,7 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** The program that joins the decision module to the simulator's wire. */
+/** Command line program that runs the routing policy on the simulator's line protocol. */
 public final class Main {
   private static final String USAGE =
       "usage: java -jar coveladder.jar simhost | --help | --version\n"
@@ -16,7 +16,7 @@
 
   private Main() {}
 
-  /** Runs the program and exits with its status. */
+  /** Runs the program and exits: 0 done, 2 wrong usage or unreadable input. */
   public static void main(String[] args) throws IOException {
     var out = new PrintStream(System.out, false, StandardCharsets.UTF_8);
     int status = run(args, System.in, out, System.err);
@@ -24,7 +24,7 @@
     System.exit(status);
   }
 
-  /** Runs the program on the given streams; returns its exit status. */
+  /** Runs the program on the given streams and returns its exit status. */
   static int run(String[] args, InputStream in, PrintStream out, PrintStream err)
       throws IOException {
     switch (args.length == 1 ? args[0] : "") {
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads batches of events, hands them to the instances and prints their actions. */
+/**
+ * Runs the policy instances of a simulation: reads batches of events, delivers each event to its
+ * instance and prints the actions that the instances request.
+ */
 final class SimHost {
   private final BufferedReader in;
   private final PrintStream out;
@@ -31,7 +34,11 @@
     this.out = out;
   }
 
-  /** Answers batches until the input ends. */
+  /**
+   * Processes batches until the input ends.
+   *
+   * @throws WireException if a line cannot be read; the message names the batch and the line
+   */
   void run() throws IOException {
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       lineNumber++;
@@ -147,12 +154,12 @@
     return text.equals("-") ? new byte[0] : Base64.getDecoder().decode(text);
   }
 
-  /** One event on its way to one instance. */
+  /** An event that can be delivered to the policy of an instance. */
   private interface PolicyEvent {
     void deliverTo(CallPolicy policy, Instance instance);
   }
 
-  /** An instance; its policy is null after a shutdown. */
+  /** A simulated controller; its policy is null after a shutdown. */
   private static final class Instance {
     final int id;
     final String[] loadColumns;
--- a/simhost/src/main/java/coveladder/simhost/WireActions.java
+++ b/simhost/src/main/java/coveladder/simhost/WireActions.java
@@ -3,7 +3,7 @@
 import coveladder.CallPolicy.Actions;
 import java.util.Base64;
 
-/** Writes the actions of one instance to the reply. */
+/** Appends the actions that an instance requests to the reply, one line each. */
 final class WireActions implements Actions {
   private final int instanceId;
   private final StringBuilder reply;
--- a/wire/src/main/java/coveladder/wire/Fields.java
+++ b/wire/src/main/java/coveladder/wire/Fields.java
@@ -3,18 +3,26 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Named values of one message, or of the settings by their paths. */
+/** The named values of a message, or the settings named by their paths. */
 public final class Fields {
   private final String messageName;
   private final Map<String, String> values;
 
-  /** Takes values that were read already; the message's name stands in errors. */
+  /**
+   * Wraps values that were already parsed.
+   *
+   * @param messageName name of the message in error messages
+   * @param values values by name
+   */
   public Fields(String messageName, Map<String, String> values) {
     this.messageName = messageName;
     this.values = values;
   }
 
-  /** Reads the pairs that follow the first word of a line; words without a sign are skipped. */
+  /**
+   * Parses a line: the name of the message, followed by pairs {@code name=value}. Words without an
+   * equals sign are ignored.
+   */
   public static Fields parseLine(String line) {
     int end = line.indexOf(' ');
     String messageName = end < 0 ? line : line.substring(0, end);
@@ -31,17 +39,17 @@
     return new Fields(messageName, values);
   }
 
-  /** The name of the message. */
+  /** Returns the name of the message. */
   public String messageName() {
     return messageName;
   }
 
-  /** Whether a value is there and not empty. */
+  /** Returns whether a value is present and not empty. */
   public boolean has(String name) {
     return !values.getOrDefault(name, "").isEmpty();
   }
 
-  /** A value that must be there. */
+  /** Returns a required value. */
   public String text(String name) {
     if (!has(name)) {
       throw new WireException(messageName + " lacks " + name);
@@ -49,22 +57,22 @@
     return values.get(name);
   }
 
-  /** A value, or what stands for it where it is absent. */
+  /** Returns a value, or the default if it is absent. */
   public String text(String name, String defaultValue) {
     return has(name) ? values.get(name) : defaultValue;
   }
 
-  /** A finite number that must be there. */
+  /** Returns a required finite number. */
   public double number(String name) {
     return parseNumber(name, text(name));
   }
 
-  /** A finite number, or what stands for it where it is absent. */
+  /** Returns a finite number, or the default if it is absent. */
   public double number(String name, double defaultValue) {
     return has(name) ? number(name) : defaultValue;
   }
 
-  /** A number within bounds, or what stands for it where it is absent. */
+  /** Returns a number from min to max, or the default if it is absent. */
   public double numberWithin(String name, double defaultValue, double min, double max) {
     double value = number(name, defaultValue);
     if (value >= min && value <= max) {
@@ -73,7 +81,7 @@
     throw outOfRange(name, value, min, max);
   }
 
-  /** A whole number within bounds, or what stands for it where it is absent. */
+  /** Returns a 32-bit integer from min to max, or the default if it is absent. */
   public int intWithin(String name, int defaultValue, int min, int max) {
     int value = intValue(name, defaultValue);
     if (value >= min && value <= max) {
@@ -82,7 +90,7 @@
     throw outOfRange(name, value, min, max);
   }
 
-  /** A whole number that must be there. */
+  /** Returns a required 64-bit integer. */
   public long longValue(String name) {
     String text = text(name);
     try {
@@ -92,7 +100,7 @@
     }
   }
 
-  /** A whole number of 32 bits that must be there. */
+  /** Returns a required 32-bit integer. */
   public int intValue(String name) {
     long value = longValue(name);
     if (value != (int) value) {
@@ -101,12 +109,15 @@
     return (int) value;
   }
 
-  /** A whole number of 32 bits, or what stands for it where it is absent. */
+  /** Returns a 32-bit integer, or the default if it is absent. */
   public int intValue(String name, int defaultValue) {
     return has(name) ? intValue(name) : defaultValue;
   }
 
-  /** Reads a yes or no, written 1 and 0 in messages and as words in settings. */
+  /**
+   * Returns a flag, false if absent. Messages write 1 and 0, settings {@code true} and {@code
+   * false}.
+   */
   public boolean flag(String name) {
     String text = text(name, "0");
     if (text.equals("1") || text.equals("true")) {
@@ -118,12 +129,12 @@
     throw unreadable(name, text);
   }
 
-  /** Reads a list of plain values set apart by commas. */
+  /** Returns a list of values separated by commas; empty if absent. */
   public String[] list(String name) {
     return has(name) ? values.get(name).split(",", -1) : new String[0];
   }
 
-  /** Reads a list of numbers set apart by commas. */
+  /** Returns a list of finite numbers separated by commas; empty if absent. */
   public double[] numbers(String name) {
     String[] texts = list(name);
     double[] numbers = new double[texts.length];
--- a/wire/src/main/java/coveladder/wire/ReportReader.java
+++ b/wire/src/main/java/coveladder/wire/ReportReader.java
@@ -5,11 +5,19 @@
 import coveladder.CallPolicy.Reason;
 import java.util.function.ToDoubleFunction;
 
-/** The one mapping of the platform's words for loads, reasons and states to those of the policy. */
+/**
+ * Converts the platform's load figures, reasons and exchange states to those of the policy. The
+ * simulator host and the protocol front end share this conversion.
+ */
 public final class ReportReader {
   private ReportReader() {}
 
-  /** Load figures in the order of the columns that the settings name; below nought: not told. */
+  /**
+   * Converts load figures that are listed by position.
+   *
+   * @param values the figures; a negative one was not reported
+   * @param columns names of the figures, in the order of the values
+   */
   public static Load load(double[] values, String[] columns) {
     if (values.length == 0) {
       return Load.UNKNOWN;
@@ -17,7 +25,11 @@
     return load(name -> valueInColumn(name, values, columns));
   }
 
-  /** Load figures by the settings' names; NaN or below nought: not told. */
+  /**
+   * Converts load figures that are looked up by name.
+   *
+   * @param figureByName returns the figure of a name; NaN or negative: not reported
+   */
   public static Load load(ToDoubleFunction<String> figureByName) {
     return new Load(
         reportedFigure(figureByName, "free"),
@@ -44,7 +56,12 @@
     return Double.NaN;
   }
 
-  /** Why a set-up was not made, by the number of the note. */
+  /**
+   * Converts the number of a note to the reason why an attempt was not set up.
+   *
+   * @param note {@code note % 16} is the reason; {@code note / 16} is the wait that a full
+   *     processor requests, ms, and is 0 for a plain crankback
+   */
   public static Reason reason(int note) {
     return switch (note % 16) {
       case 1 -> Reason.NO_CIRCUIT;
@@ -55,7 +72,10 @@
     };
   }
 
-  /** Why a set-up was not made, by the word of the note; words that are unknown give none. */
+  /**
+   * Converts the word of a note to the reason why an attempt was not set up; an unknown word gives
+   * {@link Reason#NONE}.
+   */
   public static Reason reason(String note) {
     return switch (note) {
       case "all_trunks_busy" -> Reason.NO_CIRCUIT;
@@ -67,7 +87,7 @@
     };
   }
 
-  /** What the list says of an exchange. */
+  /** Converts the state of an exchange in the exchange directory. */
   public static ExchangeState state(String word) {
     return switch (word) {
       case "in_service" -> ExchangeState.IN_SERVICE;
--- a/wire/src/main/java/coveladder/wire/SettingsReader.java
+++ b/wire/src/main/java/coveladder/wire/SettingsReader.java
@@ -7,23 +7,29 @@
 import java.util.List;
 
 /**
- * The one mapping of the platform's settings, by path, to those of the policy: for the adapter and
- * for the front. Paths that it does not know are skipped.
+ * Converts the platform's settings, named by path, to the settings of the policy. The simulator
+ * host and the protocol front end share this conversion. Unknown paths are ignored.
  */
 public final class SettingsReader {
-  /** Shortest time that must pass, and longest time of all, ms: eleven days. */
+  /** Smallest value of a setting that must be above 0: a duration in ms, a share or a multiple. */
   private static final double MIN_POSITIVE = 0.001;
 
+  /** Longest duration, ms: eleven days; also the maximum of circuits per call. */
   private static final double MAX_DURATION_MILLIS = 1e9;
+
+  /** Largest value of a call, and largest multiple of a capacity. */
   private static final double MAX_WORTH_OR_MULTIPLE = 1e9;
+
+  /** Largest number of exchanges, controllers or attempts. */
   private static final int MAX_COUNT = 1_000_000;
 
   private SettingsReader() {}
 
   /**
-   * Reads settings.
+   * Reads the settings of the policy.
    *
-   * @throws WireException naming a path that lacks or cannot be read
+   * @throws WireException if a setting is missing, unreadable or out of range; the message names
+   *     its path
    */
   public static Settings read(Fields fields) {
     boolean retryAfter = fields.flag("permissions.retryAfter");
@@ -83,7 +89,10 @@
     return classes;
   }
 
-  /** A key of a zone is taken as one of a cell, as the policy knows no zones: that is in both. */
+  /**
+   * Reads the time within which a repeat may be sent, ms. The policy does not know zones, so a key
+   * that is valid in a zone is treated as one that is valid in a cell, which holds for both.
+   */
   private static double repeatWindow(Fields fields, String prefix) {
     String word = fields.text(prefix + "repeat", "safe");
     return switch (word) {
@@ -116,7 +125,10 @@
     return values;
   }
 
-  /** Reads the pools of a class, whether the list of lists is written by paths or by signs. */
+  /**
+   * Reads the pools that a class may use. The list of each class has a path of its own, on a START
+   * line as in a configuration file.
+   */
   private static List<Integer> pools(Fields fields, int classNumber) {
     List<Integer> pools = new ArrayList<>();
     for (double pool : fields.numbers("familyInfo.allowedPools." + classNumber)) {
--- a/wire/src/main/java/coveladder/wire/WireException.java
+++ b/wire/src/main/java/coveladder/wire/WireException.java
@@ -1,10 +1,14 @@
 package coveladder.wire;
 
-/** Input that cannot be read; its message says where and why. */
+/** Thrown when input cannot be read; the message names the place and the cause. */
 public final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Names what was found and what was expected. */
+  /**
+   * Creates an exception.
+   *
+   * @param reason what was found and what was expected
+   */
   public WireException(String reason) {
     super(reason);
   }
