--- a/serve/src/test/java/coveladder/serve/DescriptorLimitTest.java
+++ b/serve/src/test/java/coveladder/serve/DescriptorLimitTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process with few file descriptors, which the connections of idle clients could use up. */
+/**
+ * A process with few file descriptors, which the connections of idle clients could use up. The
+ * switch, the journal service and active callers must still be able to connect.
+ */
 @Timeout(90)
 class DescriptorLimitTest {
   private static final int DESCRIPTOR_LIMIT = 256;
@@ -37,8 +40,8 @@
     return List.of("sh", "-c", line);
   }
 
-  /** Sends one request and returns whether it was answered, not closed to free a descriptor. */
-  private static boolean remainsOpen(Socket client) throws IOException {
+  /** Sends a test request; false if the connection was closed to free a descriptor. */
+  private static boolean isAnswered(Socket client) throws IOException {
     try {
       client
           .getOutputStream()
@@ -55,13 +58,13 @@
     try (LoopbackPlatform platform = new LoopbackPlatform(folder, command())) {
       assertEquals("tail 1", platform.readJournalRequest());
       platform.stopJournal();
-      int openCount = 0;
+      int answeredCount = 0;
       for (int i = 0; i < IDLE_CLIENTS; i++) {
         Socket client = platform.connectCaller();
         idleClients.add(client);
-        openCount += remainsOpen(client) ? 1 : 0;
+        answeredCount += isAnswered(client) ? 1 : 0;
       }
-      assertTrue(openCount > DESCRIPTOR_LIMIT / 2, "idle clients served: " + openCount);
+      assertTrue(answeredCount > DESCRIPTOR_LIMIT / 2, "idle clients answered: " + answeredCount);
       platform.reconnectSwitch();
       platform.connectCaller();
       for (int i = 1; i <= 20; i++) {
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -120,7 +120,7 @@
         new NestedThresholdPolicy(SettingsReader.read(fields), fields.longValue("salt"), actions);
     var newInstance = new Instance(id, newPolicy, fields.list("stats.fields"));
     instances.put(id, newInstance);
-    deliverCatchingPanic(newInstance, (policy, instance) -> policy.onStart(now));
+    deliverReportingFailure(newInstance, (policy, instance) -> policy.onStart(now));
   }
 
   private Instance requireInstance(Fields fields) {
@@ -135,11 +135,15 @@
   private void deliver(Fields fields, PolicyEvent event) {
     Instance instance = requireInstance(fields);
     if (instance.policy != null) {
-      deliverCatchingPanic(instance, event);
+      deliverReportingFailure(instance, event);
     }
   }
 
-  private void deliverCatchingPanic(Instance instance, PolicyEvent event) {
+  /**
+   * Delivers an event. An exception of the policy becomes a PANIC line in the reply; unreadable
+   * input is thrown on.
+   */
+  private void deliverReportingFailure(Instance instance, PolicyEvent event) {
     try {
       event.deliverTo(instance.policy, instance);
     } catch (WireException e) {
--- a/simhost/src/test/java/coveladder/simhost/SimHostTest.java
+++ b/simhost/src/test/java/coveladder/simhost/SimHostTest.java
@@ -106,8 +106,8 @@
     assertEquals(linesContaining(together, "who=2"), linesContaining(second, "who=2"));
   }
 
-  private static java.util.List<String> linesContaining(String text, String word) {
-    return text.lines().filter(line -> line.contains(word)).toList();
+  private static java.util.List<String> linesContaining(String text, String part) {
+    return text.lines().filter(line -> line.contains(part)).toList();
   }
 
   @Test
--- a/wire/src/main/java/coveladder/wire/Fields.java
+++ b/wire/src/main/java/coveladder/wire/Fields.java
@@ -114,10 +114,7 @@
     return has(name) ? intValue(name) : defaultValue;
   }
 
-  /**
-   * Returns a flag, false if absent. Messages write 1 and 0, settings {@code true} and {@code
-   * false}.
-   */
+  /** Returns a flag, false if absent. Messages write it as 1 or 0, settings as true or false. */
   public boolean flag(String name) {
     String text = text(name, "0");
     if (text.equals("1") || text.equals("true")) {
--- a/wire/src/main/java/coveladder/wire/ReportReader.java
+++ b/wire/src/main/java/coveladder/wire/ReportReader.java
@@ -59,8 +59,9 @@
   /**
    * Converts the number of a note to the reason why an attempt was not set up.
    *
-   * @param note {@code note % 16} is the reason; {@code note / 16} is the wait that a full
-   *     processor requests, ms, and is 0 for a plain crankback
+   * @param note {@code note % 16} is the reason; {@code note / 16} is the waiting time that a full
+   *     processor requests, ms; a crankback with 16 or above comes from a processor beyond the
+   *     tandem
    */
   public static Reason reason(int note) {
     return switch (note % 16) {
--- a/wire/src/main/java/coveladder/wire/SettingsReader.java
+++ b/wire/src/main/java/coveladder/wire/SettingsReader.java
@@ -20,7 +20,7 @@
   /** Largest value of a call, and largest multiple of a capacity. */
   private static final double MAX_WORTH_OR_MULTIPLE = 1e9;
 
-  /** Largest number of exchanges, controllers or attempts. */
+  /** Largest exchange number, and maximum number of controllers or attempts. */
   private static final int MAX_COUNT = 1_000_000;
 
   private SettingsReader() {}
@@ -32,7 +32,7 @@
    *     its path
    */
   public static Settings read(Fields fields) {
-    boolean retryAfter = fields.flag("permissions.retryAfter");
+    boolean mayRequestRetryDelay = fields.flag("permissions.retryAfter");
     return new Settings(
         layout(fields.text("familyInfo.layout", "mesh")),
         fields.intWithin("familyInfo.selfNo", -1, -1, MAX_COUNT),
@@ -43,7 +43,7 @@
         fields.flag("permissions.cancel"),
         fields.flag("permissions.mayProbe"),
         fields.flag("permissions.peers"),
-        retryAfter
+        mayRequestRetryDelay
             ? fields.numberWithin("permissions.maxRetryAfter", 0, 0, MAX_DURATION_MILLIS)
             : 0,
         fields.text("discovery", "push").equals("ask"),
@@ -91,7 +91,7 @@
 
   /**
    * Reads the time within which a repeat may be sent, ms. The policy does not know zones, so a key
-   * that is valid in a zone is treated as one that is valid in a cell, which holds for both.
+   * that is valid in a zone is treated as one that is valid only in a cell, which lies in its zone.
    */
   private static double repeatWindow(Fields fields, String prefix) {
     String word = fields.text(prefix + "repeat", "safe");
