--- a/app/src/main/java/coveladder/app/CallLog.java
+++ b/app/src/main/java/coveladder/app/CallLog.java
@@ -4,10 +4,10 @@
 
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
 import coveladder.core.FinalAnswer;
-import coveladder.core.HeldCall;
+import coveladder.core.TrackedCall;
 import io.micrometer.core.instrument.MeterRegistry;
 import java.time.Duration;
 import java.util.List;
@@ -18,7 +18,7 @@
  * Writes each step of each call to the log, with call and attempt ids, and counts it. Numbers
  * called are not written: they may be somebody's.
  */
-final class CallLog implements CallController.Journal {
+final class CallLog implements CallController.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("coveladder.calls");
 
   private final MeterRegistry meters;
@@ -29,12 +29,12 @@
     this.classes = classes;
   }
 
-  private String type(HeldCall call) {
+  private String type(TrackedCall call) {
     return classes.get(call.call().type());
   }
 
   @Override
-  public void taken(HeldCall call) {
+  public void callAccepted(TrackedCall call) {
     meters.counter("coveladder.calls", "class", type(call)).increment();
     LOG.debug(
         "call taken",
@@ -45,19 +45,20 @@
   }
 
   @Override
-  public void sent(HeldCall call, AttemptOrder order) {
+  public void attemptSent(TrackedCall call, AttemptRequest order) {
     meters.counter("coveladder.attempts", "class", type(call)).increment();
     LOG.debug(
         "attempt sent",
         kv("call", order.call()),
         kv("attempt", order.attempt()),
-        kv("exchange", order.first().id()),
-        kv("tandem", order.alternative()),
-        kv("within", Math.round(order.within())));
+        kv("exchange", order.nextExchange().id()),
+        kv("tandem", order.viaTandem()),
+        kv("within", Math.round(order.timeoutMillis())));
   }
 
   @Override
-  public void over(HeldCall call, int attempt, Outcome outcome, Reason reason, double spent) {
+  public void attemptEnded(
+      TrackedCall call, int attempt, Outcome outcome, Reason reason, double spent) {
     meters
         .counter("coveladder.attempts.over", "outcome", outcome.name(), "reason", reason.name())
         .increment();
@@ -71,7 +72,7 @@
   }
 
   @Override
-  public void answered(HeldCall call, FinalAnswer answer, double after) {
+  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double after) {
     String kind = answer.kind().name();
     meters.counter("coveladder.answers", "class", type(call), "kind", kind).increment();
     meters
@@ -83,12 +84,12 @@
         kv("class", type(call)),
         kv("answer", kind),
         kv("reason", answer.reason()),
-        kv("attempts", call.attempts()),
+        kv("attempts", call.attemptCount()),
         kv("after", Math.round(after)));
   }
 
   @Override
-  public void callerLeft(HeldCall call, double after) {
+  public void callerAbandoned(TrackedCall call, double after) {
     meters.counter("coveladder.callers.left", "class", type(call)).increment();
     LOG.info("caller left", kv("call", call.call().id()), kv("after", Math.round(after)));
   }
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -108,8 +108,8 @@
     DiskStore opened = new DiskStore(folder, loop::execute);
     long millis = (System.nanoTime() - begun) / 1_000_000;
     LOG.info("state opened", kv("folder", folder), kv("millis", millis));
-    opened.found().damaged().forEach(what -> LOG.error("set aside: {}", what));
-    if (opened.found().behind()) {
+    opened.initialContents().damagedRecords().forEach(what -> LOG.error("set aside: {}", what));
+    if (opened.initialContents().outOfDate()) {
       LOG.warn(
           "calls had gone on unkept before this start: those set-ups are called off unanswered");
     }
@@ -122,16 +122,19 @@
   }
 
   private void storeGauges() {
-    Gauge.builder("coveladder.state.calls", front, f -> f.writeAhead().size()).register(meters);
-    Gauge.builder("coveladder.state.unkept", front, f -> f.writeAhead().unkept()).register(meters);
+    Gauge.builder("coveladder.state.calls", front, f -> f.writeAhead().persistedCallCount())
+        .register(meters);
+    Gauge.builder("coveladder.state.unkept", front, f -> f.writeAhead().unpersistedActions())
+        .register(meters);
     Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges).register(meters);
     Gauge.builder("coveladder.state.commits", store, DiskStore::commitCount).register(meters);
     Gauge.builder("coveladder.state.failures", store, DiskStore::failureCount).register(meters);
     Gauge.builder("coveladder.state.failing", store, s -> s.failureReason().isEmpty() ? 0 : 1)
         .register(meters);
-    Gauge.builder("coveladder.recovery.open", front, f -> f.recovery().done() ? 0 : 1)
+    Gauge.builder("coveladder.recovery.open", front, f -> f.recovery().isComplete() ? 0 : 1)
+        .register(meters);
+    Gauge.builder("coveladder.recovery.gone", front, f -> f.recovery().releasedCalls())
         .register(meters);
-    Gauge.builder("coveladder.recovery.gone", front, f -> f.recovery().gone()).register(meters);
   }
 
   /** Says what a start found, and once more when all of it is settled. */
@@ -139,20 +142,20 @@
     Recovery recovery = front.recovery();
     LOG.info(
         "going on from state",
-        kv("standing", recovery.found(Phase.STANDS)),
-        kv("cutShort", recovery.found(Phase.SETTING_UP)),
-        kv("answersOnTheirWay", recovery.found(Phase.ANSWERED)),
-        kv("damaged", recovery.damaged()));
+        kv("standing", recovery.recoveredIn(Phase.STANDS)),
+        kv("cutShort", recovery.recoveredIn(Phase.SETTING_UP)),
+        kv("answersOnTheirWay", recovery.recoveredIn(Phase.ANSWERED)),
+        kv("damaged", recovery.damagedRecords()));
     watchRecovery();
   }
 
   private void watchRecovery() {
     Recovery recovery = front.recovery();
-    if (recovery.done()) {
+    if (recovery.isComplete()) {
       LOG.info(
           "recovery done",
-          kv("answered", recovery.answered()),
-          kv("gone", recovery.gone()),
+          kv("answered", recovery.answeredCallers()),
+          kv("gone", recovery.releasedCalls()),
           kv("after", Math.round(loop.now())));
     } else {
       loop.after(LOOK_RECOVERY, this::watchRecovery);
@@ -176,7 +179,7 @@
   }
 
   private void gauges() {
-    Gauge.builder("coveladder.calls.held", front, f -> f.controller().held()).register(meters);
+    Gauge.builder("coveladder.calls.held", front, f -> f.controller().callCount()).register(meters);
     Gauge.builder("coveladder.loop.waiting", loop, EventLoop::queuedTasks).register(meters);
     Gauge.builder("coveladder.loop.dropped", loop, EventLoop::droppedTasks).register(meters);
     Gauge.builder("coveladder.loop.faults", loop, EventLoop::failedTasks).register(meters);
@@ -185,7 +188,7 @@
         .register(meters);
     Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().malformedMessages())
         .register(meters);
-    Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::heldBack).register(meters);
+    Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::suppressed).register(meters);
     Gauge.builder(
             "coveladder.transactions", front, f -> f.stack().userAgent().transactionLayer().size())
         .register(meters);
@@ -227,7 +230,8 @@
     long most = (long) (settings.calls().drain() + 3 * BYE_TIME);
     if (!ended.await(most, TimeUnit.MILLISECONDS)) {
       LOG.warn(
-          "ended with attempts still out", kv("outstanding", front.controller().outstanding()));
+          "ended with attempts still out",
+          kv("outstanding", front.controller().outstandingAttempts()));
     }
     close();
   }
@@ -242,7 +246,7 @@
     CountDownLatch drained = new CountDownLatch(1);
     loop.put(
         () -> {
-          LOG.info("handing over", kv("unanswered", front.controller().unanswered()));
+          LOG.info("handing over", kv("unanswered", front.controller().pendingCallCount()));
           ending = true;
           front.drain();
           watchDrain(loop.now() + settings.calls().drain(), drained);
@@ -256,7 +260,8 @@
   }
 
   private void watchDrain(double until, CountDownLatch drained) {
-    boolean busy = front.controller().unanswered() + front.controller().outstanding() > 0;
+    boolean busy =
+        front.controller().pendingCallCount() + front.controller().outstandingAttempts() > 0;
     if (busy && loop.now() < until) {
       loop.after(LOOK_EVERY / 4, () -> watchDrain(until, drained));
     } else {
@@ -272,7 +277,7 @@
   private void beginEnd() {
     if (!ending) {
       ending = true;
-      LOG.info("shutting down", kv("unanswered", front.controller().unanswered()));
+      LOG.info("shutting down", kv("unanswered", front.controller().pendingCallCount()));
       front.shutDown();
       double until = loop.now() + settings.calls().drain();
       loop.after(LOOK_EVERY, () -> watchEnd(until));
@@ -280,11 +285,11 @@
   }
 
   private void watchEnd(double until) {
-    if (front.controller().outstanding() > 0 && loop.now() < until) {
+    if (front.controller().outstandingAttempts() > 0 && loop.now() < until) {
       loop.after(LOOK_EVERY, () -> watchEnd(until));
       return;
     }
-    front.controller().releaseStanding();
+    front.controller().releaseEstablished();
     loop.after(BYE_TIME, ended::countDown);
   }
 
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -3,7 +3,7 @@
 import coveladder.CallPolicy;
 import coveladder.CallPolicy.CallClass;
 import coveladder.CallPolicy.Layout;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.net.SocketLimits;
 import coveladder.sip.Hop;
 import coveladder.sip.SipStack;
@@ -114,8 +114,8 @@
    * @param askAfter time until standing calls are asked after, ms
    */
   public record State(Path folder, double perSecond, double askAfter) {
-    RecoveryPace.Budget budget() {
-      return new RecoveryPace.Budget(perSecond, askAfter);
+    RecoveryRate.Budget budget() {
+      return new RecoveryRate.Budget(perSecond, askAfter);
     }
   }
 
--- a/bench/src/main/java/coveladder/bench/RestartBench.java
+++ b/bench/src/main/java/coveladder/bench/RestartBench.java
@@ -1,7 +1,7 @@
 package coveladder.bench;
 
 import coveladder.CallPolicy.Call;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.core.recovery.SavedCall;
 import coveladder.net.EventLoop;
 import coveladder.net.SocketNode;
@@ -134,7 +134,7 @@
       SocketNode node = WholePath.Run.node(sockets, loop);
       Hop nowhere = new Hop(Transport.UDP, "127.0.0.1", 9);
       SipFront front =
-          WholePath.Run.front(node, nowhere, store, new RecoveryPace.Budget(1, 3_600_000));
+          WholePath.Run.front(node, nowhere, store, new RecoveryRate.Budget(1, 3_600_000));
       loop.start();
       node.start(front);
       CompletableFuture<Double> taken = new CompletableFuture<>();
@@ -144,7 +144,7 @@
           Locale.ROOT,
           "  store read after %.0f ms, %d calls held and new ones taken after %.0f ms%n",
           read,
-          front.controller().held(),
+          front.controller().callCount(),
           ready);
       store.close();
       node.close();
--- a/bench/src/main/java/coveladder/bench/StandingCall.java
+++ b/bench/src/main/java/coveladder/bench/StandingCall.java
@@ -1,7 +1,7 @@
 package coveladder.bench;
 
 import coveladder.core.recovery.CallStore;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.core.recovery.SavedCall;
 import coveladder.net.EventLoop;
 import coveladder.net.SocketNode;
@@ -46,7 +46,7 @@
       SocketNode callerNode = WholePath.Run.node(sockets, loop);
       Hop own = new Hop(Transport.UDP, "127.0.0.1", switchNode.port());
       SipFront front =
-          WholePath.Run.front(controllerNode, own, kept, new RecoveryPace.Budget(1, 1_000));
+          WholePath.Run.front(controllerNode, own, kept, new RecoveryRate.Budget(1, 1_000));
       switchNode.start(new EchoSwitch(switchNode, switchNode.port()));
       controllerNode.start(front);
       callerNode.start(new Dialer(callerNode, controllerNode.localHop(Transport.UDP)));
@@ -125,13 +125,13 @@
   }
 
   @Override
-  public Found found() {
-    return new Found(List.of(), List.of(), false, 1);
+  public Contents initialContents() {
+    return new Contents(List.of(), List.of(), false, 1);
   }
 
   @Override
-  public void caughtUp() {}
+  public void markUpToDate() {}
 
   @Override
-  public void begunAnew(Runnable putAll) {}
+  public void onRecreated(Runnable putAll) {}
 }
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -7,7 +7,7 @@
 import coveladder.core.AttemptGuard;
 import coveladder.core.CallController;
 import coveladder.core.recovery.CallStore;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.net.EventLoop;
 import coveladder.net.SocketLimits;
 import coveladder.net.SocketNode;
@@ -80,7 +80,7 @@
               settings(own),
               rules(),
               new AttemptGuard(300, 250),
-              CallController.Journal.NONE,
+              CallController.Observer.NONE,
               actions -> new TimedPolicy(new NestedThresholdPolicy(rules(), 1, actions), clock),
               store == null ? null : keeping());
       caller =
@@ -97,13 +97,13 @@
     }
 
     /** A controller that keeps its calls, among neighbours at one place. */
-    static SipFront front(SocketNode node, Hop own, CallStore store, RecoveryPace.Budget budget) {
+    static SipFront front(SocketNode node, Hop own, CallStore store, RecoveryRate.Budget budget) {
       return new SipFront(
           node,
           settings(own),
           rules(),
           new AttemptGuard(300, 250),
-          CallController.Journal.NONE,
+          CallController.Observer.NONE,
           actions -> new NestedThresholdPolicy(rules(), 1, actions),
           new SipFront.Keeping(store, budget, System::currentTimeMillis));
     }
@@ -113,7 +113,7 @@
     }
 
     private SipFront.Keeping keeping() {
-      RecoveryPace.Budget budget = new RecoveryPace.Budget(200, 2_000);
+      RecoveryRate.Budget budget = new RecoveryRate.Budget(200, 2_000);
       return new SipFront.Keeping(store, budget, System::currentTimeMillis);
     }
 
@@ -199,7 +199,7 @@
             Locale.ROOT,
             "  %d commits, %d unkept %s%n",
             store.commitCount(),
-            front.writeAhead().unkept(),
+            front.writeAhead().unpersistedActions(),
             store.failureReason());
       }
       if (hold) {
@@ -208,7 +208,7 @@
         System.out.printf(
             Locale.ROOT,
             "  %d standing, heap %.0f bytes a call%n",
-            front.controller().held(),
+            front.controller().callCount(),
             (double) (heap() - heapBefore) / stood);
       }
     }
--- a/core/src/main/java/coveladder/core/AttemptGuard.java
+++ b/core/src/main/java/coveladder/core/AttemptGuard.java
@@ -8,7 +8,7 @@
 public final class AttemptGuard {
   private final double guard;
   private final double grace;
-  private long heldBack;
+  private long suppressed;
 
   /**
    * Makes the guard.
@@ -22,23 +22,23 @@
   }
 
   /** Whether the set-up may leave now. */
-  public boolean permits(HeldCall call, double closedSince, double now) {
+  public boolean permits(TrackedCall call, double closedSince, double now) {
     boolean permitted =
-        !call.answered()
+        !call.isAnswered()
             && call.current() == null
             && now - call.lastUnsure() >= guard
-            && withinGrace(closedSince, now);
-    heldBack += permitted ? 0 : 1;
+            && withinDrainGrace(closedSince, now);
+    suppressed += permitted ? 0 : 1;
     return permitted;
   }
 
   /** Whether something new may still go to an exchange that was told as closed then, if ever. */
-  public boolean withinGrace(double closedSince, double now) {
+  public boolean withinDrainGrace(double closedSince, double now) {
     return now - closedSince <= grace;
   }
 
   /** Set-ups held back so far; any is a fault. */
-  public long heldBack() {
-    return heldBack;
+  public long suppressed() {
+    return suppressed;
   }
 }
--- a/core/src/main/java/coveladder/core/CallController.java
+++ b/core/src/main/java/coveladder/core/CallController.java
@@ -27,40 +27,41 @@
 public final class CallController {
   private final CallPolicy.Settings settings;
   private final Signalling signalling;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final AttemptGuard guard;
-  private final Journal journal;
+  private final Observer journal;
   private final CallPolicy policy;
-  private final ExchangeList list = new ExchangeList();
-  private final CircuitGroups groups = new CircuitGroups();
+  private final ExchangeDirectory directory = new ExchangeDirectory();
+  private final CircuitGroups circuitGroups = new CircuitGroups();
   private final LoadReports reports = new LoadReports();
-  private final Map<String, HeldCall> calls = new LinkedHashMap<>();
+  private final Map<String, TrackedCall> calls = new LinkedHashMap<>();
   private final ArrayDeque<Consumer<CallPolicy>> events = new ArrayDeque<>();
   private boolean deciding;
   private boolean ending;
 
   /** Hears of each step of each call, for logs and counters. */
-  public interface Journal {
+  public interface Observer {
     /** Keeps nothing. */
-    Journal NONE = new Journal() {};
+    Observer NONE = new Observer() {};
 
     /** A call was taken. */
-    default void taken(HeldCall call) {}
+    default void callAccepted(TrackedCall call) {}
 
     /** A set-up left. */
-    default void sent(HeldCall call, AttemptOrder order) {}
+    default void attemptSent(TrackedCall call, AttemptRequest request) {}
 
     /** A set-up is over, or the standing call that it made. */
-    default void over(HeldCall call, int attempt, Outcome outcome, Reason reason, double spent) {}
+    default void attemptEnded(
+        TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsed) {}
 
     /** The final answer was given. */
-    default void answered(HeldCall call, FinalAnswer answer, double after) {}
+    default void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsed) {}
 
     /** The caller left before it. */
-    default void callerLeft(HeldCall call, double after) {}
+    default void callerAbandoned(TrackedCall call, double elapsed) {}
 
     /** Nothing is left of the call here. */
-    default void ended(HeldCall call) {}
+    default void callRemoved(TrackedCall call) {}
   }
 
   /**
@@ -72,11 +73,11 @@
       CallPolicy.Settings settings,
       Signalling signalling,
       AttemptGuard guard,
-      Journal journal,
+      Observer journal,
       Function<CallPolicy.Actions, CallPolicy> policies) {
     this.settings = settings;
     this.signalling = signalling;
-    this.clock = signalling.clockwork();
+    this.clock = signalling.scheduler();
     this.guard = guard;
     this.journal = journal;
     this.policy = policies.apply(new Deeds());
@@ -86,18 +87,18 @@
   public void start() {
     tell(p -> p.onStart(clock.now()));
     if (!settings.directoryOnRequest()) {
-      signalling.subscribeList();
+      signalling.subscribeToDirectory();
     }
   }
 
   /** The exchange list as told so far. */
-  public ExchangeList list() {
-    return list;
+  public ExchangeDirectory directory() {
+    return directory;
   }
 
   /** The own circuit groups as told so far. */
-  public CircuitGroups groups() {
-    return groups;
+  public CircuitGroups circuitGroups() {
+    return circuitGroups;
   }
 
   /** The settings that the policy was given. */
@@ -106,18 +107,18 @@
   }
 
   /** Calls held, standing ones included. */
-  public int held() {
+  public int callCount() {
     return calls.size();
   }
 
   /** A call that is held; null if there is none of that id. */
-  public HeldCall call(String id) {
+  public TrackedCall call(String id) {
     return calls.get(id);
   }
 
   /** Calls that are owed their final answer. */
-  public long unanswered() {
-    return calls.values().stream().filter(call -> !call.answered()).count();
+  public long pendingCallCount() {
+    return calls.values().stream().filter(call -> !call.isAnswered()).count();
   }
 
   private void tell(Consumer<CallPolicy> event) {
@@ -140,22 +141,22 @@
   /** A call came. Its id must be new. */
   public void callArrived(Call call) {
     double now = clock.now();
-    HeldCall held = new HeldCall(call, now);
+    TrackedCall held = new TrackedCall(call, now);
     if (calls.putIfAbsent(call.id(), held) != null) {
       throw new IllegalArgumentException("call " + call.id() + " is held already");
     }
-    journal.taken(held);
+    journal.callAccepted(held);
     if (ending) {
       finalAnswer(held, new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE));
       return;
     }
-    held.deadline(clock.after(Math.max(0, call.patience()), () -> patienceEnded(held)));
+    held.deadline(clock.schedule(Math.max(0, call.patience()), () -> patienceEnded(held)));
     tell(p -> p.onCall(clock.now(), call));
   }
 
   /** Guards a caller against a policy that let its time run out. */
-  private void patienceEnded(HeldCall held) {
-    if (!held.answered()) {
+  private void patienceEnded(TrackedCall held) {
+    if (!held.isAnswered()) {
       finalAnswer(held, new FinalAnswer(FinalAnswer.Kind.FAILED, 0, held.lastReason()));
       tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
     }
@@ -166,25 +167,25 @@
    * circuits that it holds are in the switch's reports.
    */
   public void resume(Call call, int attempt, String exchange) {
-    ExchangeList.Entry first =
-        new ExchangeList.Entry(exchange, -1, "", "", CallPolicy.ExchangeState.IN_SERVICE, 0);
-    HeldCall held = new HeldCall(call, clock.now());
-    held.resume(new HeldCall.Attempt(attempt, first, clock.now()));
+    ExchangeDirectory.Entry first =
+        new ExchangeDirectory.Entry(exchange, -1, "", "", CallPolicy.ExchangeState.IN_SERVICE, 0);
+    TrackedCall held = new TrackedCall(call, clock.now());
+    held.resume(new TrackedCall.Attempt(attempt, first, clock.now()));
     if (calls.putIfAbsent(call.id(), held) != null) {
       throw new IllegalArgumentException("call " + call.id() + " is held already");
     }
   }
 
   /** The caller called off before the final answer; the front has answered it. */
-  public void callerLeft(String id) {
-    HeldCall held = calls.get(id);
-    if (held != null && held.standing()) {
+  public void callerAbandoned(String id) {
+    TrackedCall held = calls.get(id);
+    if (held != null && held.isEstablished()) {
       // Its CANCEL crossed our 2xx while that waited to be kept: the call is released instead.
       callerReleased(id);
     }
-    if (held != null && !held.answered()) {
+    if (held != null && !held.isAnswered()) {
       held.answer(false);
-      journal.callerLeft(held, clock.now() - held.taken());
+      journal.callerAbandoned(held, clock.now() - held.acceptedAt());
       cancelCurrent(held);
       tell(p -> p.onCallerAbandoned(clock.now(), id));
       letGo(held);
@@ -193,35 +194,35 @@
 
   /** The caller ended a call that stands. */
   public void callerReleased(String id) {
-    HeldCall held = calls.get(id);
-    if (held != null && held.standing() && held.current() != null) {
+    TrackedCall held = calls.get(id);
+    if (held != null && held.isEstablished() && held.current() != null) {
       signalling.releaseAttempt(id, held.current().number);
       over(held, Outcome.DONE, Reason.NONE, 0, null);
     }
   }
 
-  private void finalAnswer(HeldCall held, FinalAnswer answer) {
+  private void finalAnswer(TrackedCall held, FinalAnswer answer) {
     held.answer(answer.kind() == FinalAnswer.Kind.STANDS);
-    journal.answered(held, answer, clock.now() - held.taken());
+    journal.finalAnswerGiven(held, answer, clock.now() - held.acceptedAt());
     signalling.answer(held.call().id(), answer);
-    if (!held.standing()) {
+    if (!held.isEstablished()) {
       cancelCurrent(held);
       letGo(held);
     }
   }
 
-  private void cancelCurrent(HeldCall held) {
-    HeldCall.Attempt out = held.current();
-    if (out != null && out.ending == HeldCall.Ending.OPEN) {
-      out.ending = HeldCall.Ending.CANCELLED;
+  private void cancelCurrent(TrackedCall held) {
+    TrackedCall.Attempt out = held.current();
+    if (out != null && out.ending == TrackedCall.Ending.OPEN) {
+      out.ending = TrackedCall.Ending.CANCELLED;
       out.stopLimit();
       signalling.cancelAttempt(held.call().id(), out.number);
     }
   }
 
-  private void letGo(HeldCall held) {
-    if (held.answered() && held.current() == null && calls.remove(held.call().id()) != null) {
-      journal.ended(held);
+  private void letGo(TrackedCall held) {
+    if (held.isAnswered() && held.current() == null && calls.remove(held.call().id()) != null) {
+      journal.callRemoved(held);
     }
   }
 
@@ -229,18 +230,18 @@
 
   /**
    * An attempt was answered: the call stands. Answers for calls that are over, or attempts that
-   * were given up, must not come here; the front releases them and tells {@link #attemptOver}.
+   * were given up, must not come here; the front releases them and tells {@link #attemptEnded}.
    */
-  public void attemptStands(String id, int attempt) {
-    HeldCall held = calls.get(id);
-    HeldCall.Attempt out = held == null ? null : held.current();
-    if (out == null || out.number != attempt || held.answered()) {
+  public void attemptAnswered(String id, int attempt) {
+    TrackedCall held = calls.get(id);
+    TrackedCall.Attempt out = held == null ? null : held.current();
+    if (out == null || out.number != attempt || held.isAnswered()) {
       signalling.releaseAttempt(id, attempt);
       return;
     }
     out.stopLimit();
     double spent = clock.now() - out.sent;
-    finalAnswer(held, FinalAnswer.STANDS);
+    finalAnswer(held, FinalAnswer.ESTABLISHED);
     tell(p -> p.onEstablished(clock.now(), new Established(id, attempt, spent)));
   }
 
@@ -248,16 +249,16 @@
    * The callee itself gave a final answer that no other route would change, such as a challenge or
    * an unknown number: it is the call's final answer too, as a 2xx is.
    */
-  public void attemptConclusive(String id, int attempt) {
-    HeldCall held = calls.get(id);
-    HeldCall.Attempt out = held == null ? null : held.current();
+  public void calleeRejected(String id, int attempt) {
+    TrackedCall held = calls.get(id);
+    TrackedCall.Attempt out = held == null ? null : held.current();
     if (out == null || out.number != attempt) {
       return;
     }
-    if (!held.answered()) {
+    if (!held.isAnswered()) {
       held.answer(false);
       FinalAnswer passed = new FinalAnswer(FinalAnswer.Kind.PASSED, 0, Reason.NONE);
-      journal.answered(held, passed, clock.now() - held.taken());
+      journal.finalAnswerGiven(held, passed, clock.now() - held.acceptedAt());
       signalling.answer(id, passed);
     }
     over(held, Outcome.ERROR, Reason.NONE, 0, null);
@@ -267,35 +268,36 @@
    * An attempt is over on the wire: its final answer, its reset, or the end of waiting after a
    * cancel is in. Repeats are ignored.
    */
-  public void attemptOver(String id, int attempt, Outcome outcome, Reason reason, double wait) {
-    attemptOver(id, attempt, outcome, reason, wait, null);
+  public void attemptEnded(
+      String id, int attempt, Outcome outcome, Reason reason, double requestedWait) {
+    attemptEnded(id, attempt, outcome, reason, requestedWait, null);
   }
 
   /**
    * An attempt is over, and figures came with its end.
    *
-   * @param told the figures, as they came; null: those last held of the exchange
+   * @param load the figures, as they came; null: those last held of the exchange
    */
-  public void attemptOver(
-      String id, int attempt, Outcome outcome, Reason reason, double wait, Load told) {
-    HeldCall held = calls.get(id);
+  public void attemptEnded(
+      String id, int attempt, Outcome outcome, Reason reason, double requestedWait, Load load) {
+    TrackedCall held = calls.get(id);
     if (held == null || held.current() == null || held.current().number != attempt) {
       return;
     }
-    if (held.standing()) {
+    if (held.isEstablished()) {
       signalling.releaseCaller(id, outcome != Outcome.DONE);
     }
-    over(held, outcome, reason, wait, told);
+    over(held, outcome, reason, requestedWait, load);
   }
 
-  private void over(HeldCall held, Outcome wire, Reason reason, double wait, Load told) {
-    HeldCall.Attempt out = held.current();
+  private void over(TrackedCall held, Outcome wire, Reason reason, double wait, Load told) {
+    TrackedCall.Attempt out = held.current();
     Outcome outcome = outcome(out, wire);
     boolean own = outcome != wire;
     double spent = clock.now() - out.sent;
     out.stopLimit();
     held.attemptOver(unsure(outcome), own ? Reason.NONE : reason, clock.now());
-    journal.over(held, out.number, outcome, own ? Reason.NONE : reason, spent);
+    journal.attemptEnded(held, out.number, outcome, own ? Reason.NONE : reason, spent);
     AttemptEnded ended =
         new AttemptEnded(
             held.call().id(),
@@ -305,7 +307,7 @@
             own ? Reason.NONE : reason,
             own ? 0 : wait,
             spent,
-            held.answered(),
+            held.isAnswered(),
             told == null ? load(out.first) : told);
     letGo(held);
     tell(p -> p.onAttemptEnded(clock.now(), ended));
@@ -315,7 +317,7 @@
    * An attempt that this controller called off counts as such whatever came last, so that the
    * release guard is kept after a refusal that crossed the CANCEL.
    */
-  private static Outcome outcome(HeldCall.Attempt out, Outcome wire) {
+  private static Outcome outcome(TrackedCall.Attempt out, Outcome wire) {
     return switch (out.ending) {
       case OPEN -> wire;
       case TIMED_OUT -> Outcome.TIMED_OUT;
@@ -327,13 +329,13 @@
     return outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED;
   }
 
-  private Load load(ExchangeList.Entry exchange) {
-    return reports.load(exchange.id(), groups.toward(exchange.number()), clock.now());
+  private Load load(ExchangeDirectory.Entry exchange) {
+    return reports.load(exchange.id(), circuitGroups.toward(exchange.number()), clock.now());
   }
 
-  private void timedOut(HeldCall held, HeldCall.Attempt out) {
-    if (held.current() == out && out.ending == HeldCall.Ending.OPEN && !held.standing()) {
-      out.ending = HeldCall.Ending.TIMED_OUT;
+  private void timedOut(TrackedCall held, TrackedCall.Attempt out) {
+    if (held.current() == out && out.ending == TrackedCall.Ending.OPEN && !held.isEstablished()) {
+      out.ending = TrackedCall.Ending.TIMED_OUT;
       signalling.cancelAttempt(held.call().id(), out.number);
     }
   }
@@ -341,62 +343,65 @@
   // ---- News ---------------------------------------------------------------------------------
 
   /** The list sent news; whether it must be asked for whole, as something is missing. */
-  public boolean listNews(ExchangeList.News news) {
-    ExchangeList.Taken taken = list.take(news, clock.now());
-    if (taken == ExchangeList.Taken.CHANGED) {
+  public boolean updateDirectory(ExchangeDirectory.Update update) {
+    ExchangeDirectory.UpdateResult taken = directory.apply(update, clock.now());
+    if (taken == ExchangeDirectory.UpdateResult.APPLIED) {
       List<CallPolicy.Exchange> entries = new ArrayList<>();
-      news.entries().forEach(entry -> entries.add(entry.forPolicy()));
-      tell(p -> p.onDirectoryUpdate(clock.now(), new DirectoryUpdate(false, news.full(), entries)));
-      retellCircuits(news.entries());
+      update.entries().forEach(entry -> entries.add(entry.forPolicy()));
+      tell(
+          p ->
+              p.onDirectoryUpdate(
+                  clock.now(), new DirectoryUpdate(false, update.complete(), entries)));
+      retellCircuits(update.entries());
     }
-    return taken == ExchangeList.Taken.GAP;
+    return taken == ExchangeDirectory.UpdateResult.GAP;
   }
 
   /** Groups may be told before the list names the exchange at their other end. */
-  private void retellCircuits(List<ExchangeList.Entry> entries) {
-    for (ExchangeList.Entry entry : entries) {
-      if (groups.toward(entry.number()) != null && list.byId(entry.id()) != null) {
+  private void retellCircuits(List<ExchangeDirectory.Entry> entries) {
+    for (ExchangeDirectory.Entry entry : entries) {
+      if (circuitGroups.toward(entry.number()) != null && directory.byId(entry.id()) != null) {
         tell(p -> p.onLoadReport(clock.now(), new LoadReport(entry.id(), true, 0, load(entry))));
       }
     }
   }
 
   /** The list could not be had; the old one stays. */
-  public void listFailed() {
+  public void directoryUnavailable() {
     tell(p -> p.onDirectoryUpdate(clock.now(), new DirectoryUpdate(true, false, List.of())));
   }
 
   /** The own switch told the free circuits of a group. */
-  public void circuits(int number, int free, int size, long version) {
-    ExchangeList.Entry far = list.byNumber(number);
-    if (groups.take(number, free, size, version) && far != null) {
+  public void circuitsReported(int number, int free, int size, long version) {
+    ExchangeDirectory.Entry far = directory.byNumber(number);
+    if (circuitGroups.update(number, free, size, version) && far != null) {
       tell(p -> p.onLoadReport(clock.now(), new LoadReport(far.id(), true, 0, load(far))));
     }
   }
 
   /** An exchange told figures unasked, those of the group toward it among them. */
-  public void figures(String exchange, Load told) {
-    if (list.byId(exchange) != null) {
-      tell(p -> p.onLoadReport(clock.now(), new LoadReport(exchange, true, 0, told)));
+  public void unsolicitedLoadReported(String exchange, Load load) {
+    if (directory.byId(exchange) != null) {
+      tell(p -> p.onLoadReport(clock.now(), new LoadReport(exchange, true, 0, load)));
     }
   }
 
   /** Load figures came with an answer of an exchange. */
-  public void loadReport(String exchange, LoadReports.Report report) {
-    reports.take(exchange, report);
+  public void overloadReported(String exchange, LoadReports.Report report) {
+    reports.update(exchange, report);
   }
 
   /** A probe was answered, or was not. */
-  public void probed(String exchange, boolean good, double askedAt) {
-    ExchangeList.Entry entry = list.byId(exchange);
+  public void probeCompleted(String exchange, boolean answered, double sentAt) {
+    ExchangeDirectory.Entry entry = directory.byId(exchange);
     if (entry != null) {
-      LoadReport report = new LoadReport(exchange, good, clock.now() - askedAt, load(entry));
+      LoadReport report = new LoadReport(exchange, answered, clock.now() - sentAt, load(entry));
       tell(p -> p.onLoadReport(clock.now(), report));
     }
   }
 
   /** A message from another controller came. */
-  public void peer(int from, byte[] payload) {
+  public void peerMessageReceived(int from, byte[] payload) {
     tell(p -> p.onPeerMessage(clock.now(), from, payload));
   }
 
@@ -413,8 +418,8 @@
    */
   public void shutDown() {
     drain();
-    for (HeldCall held : new ArrayList<>(calls.values())) {
-      if (!held.answered()) {
+    for (TrackedCall held : new ArrayList<>(calls.values())) {
+      if (!held.isAnswered()) {
         finalAnswer(held, new FinalAnswer(atTheEnd(held), 0, Reason.NONE));
         tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
       }
@@ -422,16 +427,16 @@
   }
 
   /** A call that may have run, of a class that is not simply repeated, has failed. */
-  private FinalAnswer.Kind atTheEnd(HeldCall held) {
+  private FinalAnswer.Kind atTheEnd(TrackedCall held) {
     boolean harmless =
-        held.attempts() == 0 || settings.classes().get(held.call().type()).repeatAnywhere();
+        held.attemptCount() == 0 || settings.classes().get(held.call().type()).repeatAnywhere();
     return harmless ? FinalAnswer.Kind.SHUT_DOWN : FinalAnswer.Kind.FAILED;
   }
 
   /** Ends the calls that stand, from both sides. */
-  public void releaseStanding() {
-    for (HeldCall held : new ArrayList<>(calls.values())) {
-      if (held.standing() && held.current() != null) {
+  public void releaseEstablished() {
+    for (TrackedCall held : new ArrayList<>(calls.values())) {
+      if (held.isEstablished() && held.current() != null) {
         signalling.releaseAttempt(held.call().id(), held.current().number);
         signalling.releaseCaller(held.call().id(), true);
         over(held, Outcome.CANCELLED, Reason.NONE, 0, null);
@@ -440,8 +445,8 @@
   }
 
   /** Attempts that are out, calls already answered included. */
-  public long outstanding() {
-    return calls.values().stream().filter(c -> c.current() != null && !c.standing()).count();
+  public long outstandingAttempts() {
+    return calls.values().stream().filter(c -> c.current() != null && !c.isEstablished()).count();
   }
 
   // ---- What the policy asks for -------------------------------------------------------------
@@ -451,27 +456,27 @@
 
     @Override
     public void send(String id, String exchange, double within) {
-      HeldCall held = calls.get(id);
-      ExchangeList.Entry first = list.byId(exchange);
+      TrackedCall held = calls.get(id);
+      ExchangeDirectory.Entry first = directory.byId(exchange);
       if (held == null) {
         return;
       }
       int number = held.nextAttempt();
-      if (first == null || !guard.permits(held, list.closedSince(exchange), clock.now())) {
+      if (first == null || !guard.permits(held, directory.closedSince(exchange), clock.now())) {
         skipped(held, number, exchange);
         return;
       }
-      HeldCall.Attempt out = new HeldCall.Attempt(number, first, clock.now());
+      TrackedCall.Attempt out = new TrackedCall.Attempt(number, first, clock.now());
       held.begin(out);
-      out.limit = clock.after(Math.max(0, within), () -> timedOut(held, out));
-      ExchangeList.Entry destination = list.byNumber(held.call().destination());
-      AttemptOrder order =
-          new AttemptOrder(id, number, first, destination, held.call().number(), within);
-      journal.sent(held, order);
+      out.limit = clock.schedule(Math.max(0, within), () -> timedOut(held, out));
+      ExchangeDirectory.Entry destination = directory.byNumber(held.call().destination());
+      AttemptRequest order =
+          new AttemptRequest(id, number, first, destination, held.call().number(), within);
+      journal.attemptSent(held, order);
       signalling.startAttempt(order);
     }
 
-    private void skipped(HeldCall held, int number, String exchange) {
+    private void skipped(TrackedCall held, int number, String exchange) {
       AttemptEnded ended =
           new AttemptEnded(
               held.call().id(),
@@ -481,17 +486,17 @@
               Reason.NONE,
               0,
               0,
-              held.answered(),
+              held.isAnswered(),
               Load.UNKNOWN);
-      journal.over(held, number, Outcome.SKIPPED, Reason.NONE, 0);
+      journal.attemptEnded(held, number, Outcome.SKIPPED, Reason.NONE, 0);
       tell(p -> p.onAttemptEnded(clock.now(), ended));
     }
 
     @Override
     public void cancel(String id, int attempt) {
-      HeldCall held = calls.get(id);
+      TrackedCall held = calls.get(id);
       if (held != null && held.current() != null && held.current().number == attempt) {
-        if (!held.standing()) {
+        if (!held.isEstablished()) {
           cancelCurrent(held);
         }
       }
@@ -508,20 +513,20 @@
     }
 
     private void end(String id, FinalAnswer.Kind kind, double comeBack) {
-      HeldCall held = calls.get(id);
-      if (held != null && !held.answered()) {
+      TrackedCall held = calls.get(id);
+      if (held != null && !held.isAnswered()) {
         finalAnswer(held, new FinalAnswer(kind, comeBack, held.lastReason()));
       }
     }
 
     @Override
     public void startTimer(double delay, long label) {
-      clock.after(delay, () -> tell(p -> p.onTimer(clock.now(), label)));
+      clock.schedule(delay, () -> tell(p -> p.onTimer(clock.now(), label)));
     }
 
     @Override
     public void probe(String exchange) {
-      ExchangeList.Entry entry = list.byId(exchange);
+      ExchangeDirectory.Entry entry = directory.byId(exchange);
       if (entry != null) {
         signalling.probe(entry, clock.now());
       }
@@ -529,7 +534,7 @@
 
     @Override
     public void broadcast(byte[] payload) {
-      signalling.tell(payload.clone());
+      signalling.broadcast(payload.clone());
     }
 
     private void tell(Consumer<CallPolicy> event) {
@@ -538,7 +543,7 @@
 
     @Override
     public void subscribeToDirectory() {
-      signalling.subscribeList();
+      signalling.subscribeToDirectory();
     }
   }
 }
--- a/core/src/main/java/coveladder/core/CircuitGroups.java
+++ b/core/src/main/java/coveladder/core/CircuitGroups.java
@@ -16,7 +16,7 @@
   public record Group(int free, int size, long version) {}
 
   /** Takes a report in; whether it was newer than what is held. */
-  public boolean take(int number, int free, int size, long version) {
+  public boolean update(int number, int free, int size, long version) {
     Group held = groups.get(number);
     if (held != null && held.version() >= version) {
       return false;
--- a/core/src/main/java/coveladder/core/ExchangeList.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -13,7 +13,7 @@
  * The exchange list as this controller was told it. Changes come with the version that they follow;
  * one that follows another version than the held one shows a gap, and the whole list is needed.
  */
-public final class ExchangeList {
+public final class ExchangeDirectory {
   private static final int MOST_GONE = 256;
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -29,55 +29,55 @@
    * @param domain host part of URIs of numbers there
    * @param address where its signalling is reached, as a URI
    * @param state what the list says of it
-   * @param started own clock of its last start, ms; 0: long ago
+   * @param startedAt own clock of its last start, ms; 0: long ago
    */
   public record Entry(
-      String id, int number, String domain, String address, ExchangeState state, double started) {
+      String id, int number, String domain, String address, ExchangeState state, double startedAt) {
 
     CallPolicy.Exchange forPolicy() {
-      return new CallPolicy.Exchange(id, number, state, started);
+      return new CallPolicy.Exchange(id, number, state, startedAt);
     }
   }
 
   /**
    * What came from the list.
    *
-   * @param full whether the entries are the whole list
-   * @param after version that changes follow; without meaning for a whole list
+   * @param complete whether the entries are the whole list
+   * @param baseVersion version that changes follow; without meaning for a whole list
    * @param version version that they lead to
    * @param entries the lines
    */
-  public record News(boolean full, long after, long version, List<Entry> entries) {}
+  public record Update(boolean complete, long baseVersion, long version, List<Entry> entries) {}
 
   /** What became of news. */
-  public enum Taken {
+  public enum UpdateResult {
     /** The list has changed. */
-    CHANGED,
+    APPLIED,
     /** It was known already. */
-    OLD,
+    OUTDATED,
     /** Something between is missing: the whole list must be asked for. */
     GAP
   }
 
   /** Takes news in. */
-  public Taken take(News news, double now) {
-    if (!news.full() && news.version() <= version) {
-      return Taken.OLD;
+  public UpdateResult apply(Update news, double now) {
+    if (!news.complete() && news.version() <= version) {
+      return UpdateResult.OUTDATED;
     }
-    if (!news.full() && news.after() != version) {
-      return Taken.GAP;
+    if (!news.complete() && news.baseVersion() != version) {
+      return UpdateResult.GAP;
     }
-    if (news.full()) {
+    if (news.complete()) {
       entries.keySet().removeIf(id -> isMissing(id, news, now));
     }
     version = news.version();
     for (Entry entry : news.entries()) {
       put(entry, now);
     }
-    return Taken.CHANGED;
+    return UpdateResult.APPLIED;
   }
 
-  private boolean isMissing(String id, News news, double now) {
+  private boolean isMissing(String id, Update news, double now) {
     boolean missing = news.entries().stream().noneMatch(entry -> entry.id().equals(id));
     if (missing) {
       closedAt.putIfAbsent(id, now);
@@ -129,7 +129,7 @@
     Entry found = null;
     for (Entry entry : entries.values()) {
       boolean open = entry.state() == ExchangeState.IN_SERVICE && fits.test(entry);
-      if (open && (found == null || entry.started() > found.started())) {
+      if (open && (found == null || entry.startedAt() > found.startedAt())) {
         found = entry;
       }
     }
@@ -137,12 +137,12 @@
   }
 
   /** Whether an exchange of that number was ever on the list. */
-  public boolean knows(int number) {
+  public boolean hasEverListed(int number) {
     return numbers.contains(number);
   }
 
   /** Number of the exchange for a domain, in service or not; -1 where the list knows none. */
-  public int numberOf(String domain) {
+  public int numberOfDomain(String domain) {
     for (Entry entry : entries.values()) {
       if (entry.domain().equalsIgnoreCase(domain)) {
         return entry.number();
--- a/core/src/main/java/coveladder/core/FinalAnswer.java
+++ b/core/src/main/java/coveladder/core/FinalAnswer.java
@@ -6,10 +6,10 @@
  * The one final answer of a call.
  *
  * @param kind what it is
- * @param comeBack time that the caller should stay away, ms; 0: no word on it
+ * @param retryAfterMillis time that the caller should stay away, ms; 0: no word on it
  * @param reason why the last attempt came to nothing; NONE where there was none
  */
-public record FinalAnswer(Kind kind, double comeBack, Reason reason) {
+public record FinalAnswer(Kind kind, double retryAfterMillis, Reason reason) {
 
   /** Kinds of final answers. */
   public enum Kind {
@@ -26,5 +26,5 @@
   }
 
   /** The answer that a call stands. */
-  public static final FinalAnswer STANDS = new FinalAnswer(Kind.STANDS, 0, Reason.NONE);
+  public static final FinalAnswer ESTABLISHED = new FinalAnswer(Kind.STANDS, 0, Reason.NONE);
 }
--- a/core/src/main/java/coveladder/core/LoadReports.java
+++ b/core/src/main/java/coveladder/core/LoadReports.java
@@ -14,23 +14,23 @@
   /**
    * Figures that an exchange reported.
    *
-   * @param holdBack share of set-ups that senders should hold back; NaN if not told
-   * @param canTake set-ups a second that it can take; NaN if not told
-   * @param busyShare busy share of its processor; NaN if not told
+   * @param requestedReduction share of set-ups that senders should hold back; NaN if not told
+   * @param maxSetupRate set-ups a second that it can take; NaN if not told
+   * @param utilization busy share of its processor; NaN if not told
    * @param queued messages waiting there; NaN if not told
    * @param sequence order among reports of one exchange
-   * @param until clock until which it holds, ms
+   * @param validUntil clock until which it holds, ms
    */
   public record Report(
-      double holdBack,
-      double canTake,
-      double busyShare,
+      double requestedReduction,
+      double maxSetupRate,
+      double utilization,
       double queued,
       double sequence,
-      double until) {}
+      double validUntil) {}
 
   /** Takes a report in unless a newer one is held. */
-  public void take(String exchange, Report report) {
+  public void update(String exchange, Report report) {
     Report before = held.get(exchange);
     if (before == null || report.sequence() >= before.sequence()) {
       held.put(exchange, report);
@@ -40,15 +40,15 @@
   /** All that is known of the way to an exchange now. */
   public Load load(String exchange, CircuitGroups.Group group, double now) {
     Report report = held.get(exchange);
-    boolean good = report != null && now < report.until();
+    boolean good = report != null && now < report.validUntil();
     return new Load(
         group == null ? Double.NaN : group.free(),
         group == null ? Double.NaN : group.size(),
         Double.NaN,
         good ? report.queued() : Double.NaN,
-        good ? report.busyShare() : Double.NaN,
+        good ? report.utilization() : Double.NaN,
         Double.NaN,
-        good ? report.canTake() : Double.NaN,
-        good ? report.holdBack() : Double.NaN);
+        good ? report.maxSetupRate() : Double.NaN,
+        good ? report.requestedReduction() : Double.NaN);
   }
 }
--- a/core/src/main/java/coveladder/core/Signalling.java
+++ b/core/src/main/java/coveladder/core/Signalling.java
@@ -7,10 +7,10 @@
 public interface Signalling {
 
   /**
-   * Sends a set-up. From now on the front owes exactly one {@link CallController#attemptOver}, and
-   * before it at most one {@link CallController#attemptStands}.
+   * Sends a set-up. From now on the front owes exactly one {@link CallController#attemptEnded}, and
+   * before it at most one {@link CallController#attemptAnswered}.
    */
-  void startAttempt(AttemptOrder order);
+  void startAttempt(AttemptRequest request);
 
   /** Calls an attempt off. It is over only when the front says so. */
   void cancelAttempt(String call, int attempt);
@@ -22,17 +22,17 @@
   void answer(String call, FinalAnswer answer);
 
   /** The answered call is over for the caller: the far end left, or it was cut. */
-  void releaseCaller(String call, boolean cut);
+  void releaseCaller(String call, boolean disconnected);
 
   /** Asks an exchange for its load. */
-  void probe(ExchangeList.Entry exchange, double askedAt);
+  void probe(ExchangeDirectory.Entry exchange, double sentAt);
 
   /** Sends a message to all other controllers. */
-  void tell(byte[] payload);
+  void broadcast(byte[] payload);
 
   /** Asks for the changes of the exchange list. */
-  void subscribeList();
+  void subscribeToDirectory();
 
   /** A timer is wanted. */
-  Clockwork clockwork();
+  Scheduler scheduler();
 }
--- a/core/src/main/java/coveladder/core/HeldCall.java
+++ b/core/src/main/java/coveladder/core/TrackedCall.java
@@ -4,31 +4,31 @@
 import coveladder.CallPolicy.Reason;
 
 /** A call that this controller has taken and not yet let go. */
-public final class HeldCall {
+public final class TrackedCall {
   private final Call call;
-  private final double taken;
-  private int attempts;
+  private final double acceptedAt;
+  private int attemptCount;
   private Attempt current;
-  private boolean answered;
-  private boolean standing;
+  private boolean isAnswered;
+  private boolean isEstablished;
   private double lastUnsure = Double.NEGATIVE_INFINITY;
   private Reason lastReason = Reason.NONE;
-  private Clockwork.Stop deadline;
+  private Scheduler.Timer deadline;
 
-  HeldCall(Call call, double taken) {
+  TrackedCall(Call call, double taken) {
     this.call = call;
-    this.taken = taken;
+    this.acceptedAt = taken;
   }
 
   /** One set-up of the call that is not over. */
   static final class Attempt {
     final int number;
-    final ExchangeList.Entry first;
+    final ExchangeDirectory.Entry first;
     final double sent;
-    Clockwork.Stop limit;
+    Scheduler.Timer limit;
     Ending ending = Ending.OPEN;
 
-    Attempt(int number, ExchangeList.Entry first, double sent) {
+    Attempt(int number, ExchangeDirectory.Entry first, double sent) {
       this.number = number;
       this.first = first;
       this.sent = sent;
@@ -36,7 +36,7 @@
 
     void stopLimit() {
       if (limit != null) {
-        limit.stop();
+        limit.cancel();
       }
     }
   }
@@ -58,7 +58,7 @@
 
   /** What is left of the caller's patience, ms. */
   public double patienceLeft(double now) {
-    return Math.max(0, taken + call.patience() - now);
+    return Math.max(0, acceptedAt + call.patience() - now);
   }
 
   /** Whether an attempt is out, or stands. */
@@ -67,23 +67,23 @@
   }
 
   /** Clock when it was taken, ms. */
-  public double taken() {
-    return taken;
+  public double acceptedAt() {
+    return acceptedAt;
   }
 
   /** Whether the final answer was given, or none is owed any more. */
-  public boolean answered() {
-    return answered;
+  public boolean isAnswered() {
+    return isAnswered;
   }
 
   /** Whether it stands. */
-  public boolean standing() {
-    return standing;
+  public boolean isEstablished() {
+    return isEstablished;
   }
 
   /** Number of set-ups so far. */
-  public int attempts() {
-    return attempts;
+  public int attemptCount() {
+    return attemptCount;
   }
 
   /** Clock at which an attempt last ended without word of what became of it. */
@@ -100,7 +100,7 @@
   }
 
   int nextAttempt() {
-    return attempts++;
+    return attemptCount++;
   }
 
   void begin(Attempt attempt) {
@@ -116,22 +116,22 @@
   }
 
   void answer(boolean stands) {
-    answered = true;
-    standing = stands;
+    isAnswered = true;
+    isEstablished = stands;
     if (deadline != null) {
-      deadline.stop();
+      deadline.cancel();
     }
   }
 
   /** Holds a call again that stood before a restart, with the attempt that it stands by. */
   void resume(Attempt stands) {
-    attempts = stands.number + 1;
+    attemptCount = stands.number + 1;
     current = stands;
-    answered = true;
-    standing = true;
+    isAnswered = true;
+    isEstablished = true;
   }
 
-  void deadline(Clockwork.Stop timer) {
+  void deadline(Scheduler.Timer timer) {
     deadline = timer;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/CallStore.java
+++ b/core/src/main/java/coveladder/core/recovery/CallStore.java
@@ -22,24 +22,25 @@
   void sync(Consumer<Boolean> done);
 
   /** What was found when the store was opened. */
-  Found found();
+  Contents initialContents();
 
   /** What was found behind has been set right by the changes so far: it is in step after them. */
-  void caughtUp();
+  void markUpToDate();
 
   /**
    * Names who puts everything once more when the store, after a failure, has begun anew and is
    * empty; runs on the controller's thread.
    */
-  void begunAnew(Runnable putAll);
+  void onRecreated(Runnable rewriteAll);
 
   /**
    * What a store held at its opening.
    *
    * @param calls calls that could be read
-   * @param damaged what could not, each with its reason; it was set aside
-   * @param behind whether calls had gone on unkept, so that what was found may be out of date
-   * @param life how many times the store has been opened, this time included
+   * @param damagedRecords what could not, each with its reason; it was set aside
+   * @param outOfDate whether calls had gone on unkept, so that what was found may be out of date
+   * @param incarnation how many times the store has been opened, this time included
    */
-  record Found(List<SavedCall> calls, List<String> damaged, boolean behind, int life) {}
+  record Contents(
+      List<SavedCall> calls, List<String> damagedRecords, boolean outOfDate, int incarnation) {}
 }
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -2,9 +2,9 @@
 
 import coveladder.CallPolicy.Reason;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import coveladder.core.FinalAnswer;
+import coveladder.core.Scheduler;
 import coveladder.core.recovery.SavedCall.Phase;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -22,11 +22,11 @@
   private static final double ASK_AGAIN = 5_000;
 
   private final CallController controller;
-  private final WriteAhead writeAhead;
+  private final WriteAheadSignalling writeAhead;
   private final CallStore store;
-  private final Legs legs;
-  private final Clockwork clock;
-  private final RecoveryPace pace;
+  private final CallLegs legs;
+  private final Scheduler clock;
+  private final RecoveryRate pace;
   private final double unsureFor;
   private final ArrayDeque<CutShort> urgent = new ArrayDeque<>();
   private final ArrayDeque<Question> standing = new ArrayDeque<>();
@@ -37,9 +37,9 @@
   private double begun;
   private int outstanding;
   private int unsettled;
-  private int damaged;
-  private int answered;
-  private int gone;
+  private int damagedRecords;
+  private int answeredCallers;
+  private int releasedCalls;
 
   /** A call whose caller waits, or may. */
   private static final class CutShort {
@@ -55,17 +55,17 @@
   private record Question(String call, boolean ofCaller, int asked) {}
 
   /**
-   * Makes it; nothing happens before {@link #begin}.
+   * Makes it; nothing happens before {@link #start}.
    *
    * @param unsureFor how long INVITEs of before can come again after a start, ms (64*T1)
    */
   public Recovery(
       CallController controller,
-      WriteAhead writeAhead,
+      WriteAheadSignalling writeAhead,
       CallStore store,
-      Legs legs,
-      Clockwork clock,
-      RecoveryPace pace,
+      CallLegs legs,
+      Scheduler clock,
+      RecoveryRate pace,
       double unsureFor) {
     this.controller = controller;
     this.writeAhead = writeAhead;
@@ -77,12 +77,12 @@
   }
 
   /** Holds again what stood and begins to end the rest. Before the controller takes new calls. */
-  public void begin() {
+  public void start() {
     begun = clock.now();
-    CallStore.Found found = store.found();
-    damaged = found.damaged().size();
-    behind = found.behind();
-    life = found.life();
+    CallStore.Contents found = store.initialContents();
+    damagedRecords = found.damagedRecords().size();
+    behind = found.outOfDate();
+    life = found.incarnation();
     for (SavedCall saved : found.calls()) {
       counts.merge(saved.phase(), 1, Integer::sum);
       if (saved.phase() == Phase.STANDS) {
@@ -92,10 +92,10 @@
       }
     }
     if (behind) {
-      clock.after(unsureFor, store::caughtUp);
+      clock.schedule(unsureFor, store::markUpToDate);
     }
-    clock.after(0, this::nextUrgent);
-    clock.after(pace.firstAfter(), this::nextStanding);
+    clock.schedule(0, this::nextUrgent);
+    clock.schedule(pace.firstAfter(), this::nextStanding);
   }
 
   private void resume(SavedCall saved) {
@@ -113,16 +113,16 @@
     if (behind) {
       store.put(waiting.saved);
     }
-    legs.expectCaller(saved, answer -> calledOff(waiting, answer), () -> asksAgain(waiting));
+    legs.restoreCallerLeg(saved, answer -> calledOff(waiting, answer), () -> asksAgain(waiting));
     urgent.add(waiting);
   }
 
   /** The caller calls off; one that has its answer, or is getting it, gets no other. */
   private void calledOff(CutShort waiting, Runnable answer) {
     if (waiting.saved.hasAnswer() && !waiting.answering) {
-      legs.answerAgain(waiting.saved);
-    } else if (!waiting.saved.hasAnswer() && !waiting.saved.isCalledOff()) {
-      waiting.saved = waiting.saved.calledOff();
+      legs.resendFinalAnswer(waiting.saved);
+    } else if (!waiting.saved.hasAnswer() && !waiting.saved.isCancelled()) {
+      waiting.saved = waiting.saved.cancelled();
       keepThen(waiting.saved, answer);
     }
   }
@@ -145,8 +145,9 @@
   }
 
   private double gap() {
-    ExchangeList.Entry own = controller.list().byNumber(controller.settings().localExchange());
-    return pace.gap(clock.now(), own == null ? 0 : own.started());
+    ExchangeDirectory.Entry own =
+        controller.directory().byNumber(controller.settings().localExchange());
+    return pace.gap(clock.now(), own == null ? 0 : own.startedAt());
   }
 
   // ---- Set-ups cut short, answers on their way ------------------------------------------------
@@ -163,7 +164,7 @@
     } else {
       cutShort(next);
     }
-    clock.after(gap(), this::nextUrgent);
+    clock.schedule(gap(), this::nextUrgent);
   }
 
   /**
@@ -175,28 +176,28 @@
   private void cutShort(CutShort waiting) {
     outstanding++;
     SavedCall saved = waiting.saved;
-    legs.callOff(saved, () -> attemptOver(saved.id()));
+    legs.cancelAfterRestart(saved, () -> attemptOver(saved.id()));
     if (saved.hasAnswer()) {
       answerAgain(saved);
-    } else if (saved.isCalledOff()) {
-      legs.answerCalledOff(saved);
+    } else if (saved.isCancelled()) {
+      legs.answerCancelled(saved);
     } else if (waitsStill(saved)) {
       giveUp(waiting);
     }
   }
 
   private void giveUp(CutShort waiting) {
-    answered++;
+    answeredCallers++;
     FinalAnswer answer = new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE);
     waiting.answering = true;
-    waiting.saved = waiting.saved.answered(legs.cutShortAnswer(waiting.saved, answer));
-    keepThen(waiting.saved, () -> legs.answerAgain(waiting.saved));
+    waiting.saved = waiting.saved.answered(legs.encodeInterruptedAnswer(waiting.saved, answer));
+    keepThen(waiting.saved, () -> legs.resendFinalAnswer(waiting.saved));
   }
 
   /** An answer that may not have left leaves late nowhere: a caller that had it needs no other. */
   private void answerAgain(SavedCall saved) {
     if (waitsStill(saved)) {
-      legs.answerAgain(saved);
+      legs.resendFinalAnswer(saved);
     }
   }
 
@@ -209,7 +210,7 @@
    * than the whole patience says that the clock was set back.
    */
   private boolean waitsStill(SavedCall saved) {
-    long left = saved.deadline() - legs.wallClock();
+    long left = saved.deadline() - legs.wallClockMillis();
     return !behind && left > 0 && left <= saved.call().patience() + 1;
   }
 
@@ -226,7 +227,7 @@
     Question next = standing.poll();
     if (next != null) {
       ask(next);
-      clock.after((urgent.isEmpty() ? 1 : 2) * gap() / 2, this::nextStanding);
+      clock.schedule((urgent.isEmpty() ? 1 : 2) * gap() / 2, this::nextStanding);
     }
   }
 
@@ -238,18 +239,18 @@
     }
   }
 
-  private void told(Question question, Legs.Held held) {
+  private void told(Question question, CallLegs.LegStatus held) {
     boolean isOver = controller.call(question.call()) == null;
-    boolean again = held == Legs.Held.UNSURE && question.asked() + 1 < ASKED_MOST;
-    if (isOver || held == Legs.Held.YES) {
+    boolean again = held == CallLegs.LegStatus.UNKNOWN && question.asked() + 1 < ASKED_MOST;
+    if (isOver || held == CallLegs.LegStatus.ACTIVE) {
       unsettled--;
     } else if (again) {
       Question next = new Question(question.call(), question.ofCaller(), question.asked() + 1);
-      clock.after(ASK_AGAIN * next.asked(), () -> ask(next));
+      clock.schedule(ASK_AGAIN * next.asked(), () -> ask(next));
     } else {
       unsettled--;
-      gone++;
-      legs.letGo(question.call(), question.ofCaller());
+      releasedCalls++;
+      legs.releaseLost(question.call(), question.ofCaller());
     }
   }
 
@@ -259,32 +260,32 @@
    * Whether a call that comes may be one of before that was not kept, with an attempt out. The
    * store stays marked as behind for that long, so that a crash meanwhile changes nothing of it.
    */
-  public boolean unsure() {
+  public boolean mayMissPendingCalls() {
     return behind && clock.now() < begun + unsureFor;
   }
 
   /** Calls found in a phase. */
-  public int found(Phase phase) {
+  public int recoveredIn(Phase phase) {
     return counts.getOrDefault(phase, 0);
   }
 
   /** Records that could not be read and were set aside. */
-  public int damaged() {
-    return damaged;
+  public int damagedRecords() {
+    return damagedRecords;
   }
 
   /** Callers of set-ups cut short that were answered. */
-  public int answered() {
-    return answered;
+  public int answeredCallers() {
+    return answeredCallers;
   }
 
   /** Calls released because an end did not hold them any more. */
-  public int gone() {
-    return gone;
+  public int releasedCalls() {
+    return releasedCalls;
   }
 
   /** Whether all is done: nothing waits to be called off, answered or asked after. */
-  public boolean done() {
+  public boolean isComplete() {
     return urgent.isEmpty() && unsettled == 0 && outstanding == 0;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/RecoveryPace.java
+++ b/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
@@ -6,7 +6,7 @@
  * away it halves, down to a tenth, and grows back. So a region that comes back together neither
  * pushes over what has just started nor takes the processors from new calls.
  */
-public final class RecoveryPace {
+public final class RecoveryRate {
   private static final double LEAST = 0.1;
   private static final double REGROWTH = 10_000;
 
@@ -19,15 +19,19 @@
   /**
    * How much recovery may send.
    *
-   * @param perSecond calls a second that are called off, answered again or asked after
-   * @param firstAfter time until the first is asked after, ms: peers come back too
+   * @param callsPerSecond calls a second that are called off, answered again or asked after
+   * @param verifyDelayMillis time until the first is asked after, ms: peers come back too
    */
-  public record Budget(double perSecond, double firstAfter) {
+  public record Budget(double callsPerSecond, double verifyDelayMillis) {
     /** Checks the figures. */
     public Budget {
-      if (!(perSecond > 0) || !(firstAfter >= 0)) {
+      if (!(callsPerSecond > 0) || !(verifyDelayMillis >= 0)) {
         throw new IllegalArgumentException(
-            "unusable recovery budget " + perSecond + " a second after " + firstAfter + " ms");
+            "unusable recovery budget "
+                + callsPerSecond
+                + " a second after "
+                + verifyDelayMillis
+                + " ms");
       }
     }
   }
@@ -38,7 +42,7 @@
    * @param coldFrom share of its work that a processor can do right after its start
    * @param coldRamp time until it can do all of it, ms
    */
-  public RecoveryPace(Budget budget, double coldFrom, double coldRamp) {
+  public RecoveryRate(Budget budget, double coldFrom, double coldRamp) {
     this.budget = budget;
     this.coldFrom = coldFrom;
     this.coldRamp = coldRamp;
@@ -46,11 +50,11 @@
 
   /** Time until the first standing call is asked after, ms. */
   double firstAfter() {
-    return budget.firstAfter();
+    return budget.verifyDelayMillis();
   }
 
   /** The own processor turned something away. */
-  public void turnedAway(double now) {
+  public void rejectedByProcessor(double now) {
     allowed = Math.max(LEAST, allowed(now) / 2);
     changedAt = now;
   }
@@ -65,7 +69,7 @@
    * @param started when the own processor started, clock ms; 0 where it has been warm for long
    */
   double gap(double now, double started) {
-    return 1000 / (budget.perSecond() * allowed(now) * warmth(now, started));
+    return 1000 / (budget.callsPerSecond() * allowed(now) * warmth(now, started));
   }
 
   private double warmth(double now, double started) {
--- a/core/src/main/java/coveladder/core/recovery/SavedCall.java
+++ b/core/src/main/java/coveladder/core/recovery/SavedCall.java
@@ -58,12 +58,12 @@
   }
 
   /** Whether the caller had called off. */
-  public boolean isCalledOff() {
+  public boolean isCancelled() {
     return deadline == CALLED_OFF;
   }
 
   /** The same, called off by its caller. */
-  SavedCall calledOff() {
+  SavedCall cancelled() {
     return new SavedCall(call, phase, attempt, exchange, callerLeg, attemptLeg, answer, CALLED_OFF);
   }
 
--- a/core/src/main/java/coveladder/core/recovery/WriteAhead.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -2,13 +2,13 @@
 
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import coveladder.core.FinalAnswer;
-import coveladder.core.HeldCall;
+import coveladder.core.Scheduler;
 import coveladder.core.Signalling;
+import coveladder.core.TrackedCall;
 import coveladder.core.recovery.SavedCall.Phase;
 import java.util.HashMap;
 import java.util.Map;
@@ -20,15 +20,15 @@
  *
  * <p>A disk that fails does not stop calls: acts go on unkept, and are counted.
  */
-public final class WriteAhead implements Signalling {
+public final class WriteAheadSignalling implements Signalling {
   private final Signalling front;
-  private final Legs legs;
+  private final CallLegs legs;
   private final CallStore store;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final double answeredKept;
   private final Map<String, Kept> kept = new HashMap<>();
-  private CallController controller;
-  private long unkept;
+  private CallController setController;
+  private long unpersistedActions;
 
   /** What is kept of a call, and what of it still waits for the disk. */
   private static final class Kept {
@@ -48,13 +48,14 @@
    * @param answeredKept how long a final answer other than 2xx is kept, for repeats of its INVITE,
    *     ms (64*T1)
    */
-  public WriteAhead(Signalling front, Legs legs, CallStore store, double answeredKept) {
+  public WriteAheadSignalling(
+      Signalling front, CallLegs legs, CallStore store, double answeredKept) {
     this.front = front;
     this.legs = legs;
     this.store = store;
-    this.clock = front.clockwork();
+    this.clock = front.scheduler();
     this.answeredKept = answeredKept;
-    store.begunAnew(this::putAll);
+    store.onRecreated(this::putAll);
   }
 
   /** The store failed and works again: all that is kept goes to it once more. */
@@ -63,17 +64,17 @@
   }
 
   /** Names the controller, which hears of attempts that were called off before they left. */
-  public void controller(CallController driven) {
-    controller = driven;
+  public void setController(CallController driven) {
+    setController = driven;
   }
 
   /** Acts that went on although the disk had failed. */
-  public long unkept() {
-    return unkept;
+  public long unpersistedActions() {
+    return unpersistedActions;
   }
 
   /** Calls kept. */
-  public int size() {
+  public int persistedCallCount() {
     return kept.size();
   }
 
@@ -85,17 +86,17 @@
   // ---- Set-ups ------------------------------------------------------------------------------
 
   @Override
-  public void startAttempt(AttemptOrder order) {
-    HeldCall held = controller.call(order.call());
+  public void startAttempt(AttemptRequest order) {
+    TrackedCall held = setController.call(order.call());
     byte[] leg = legs.prepareAttempt(order);
-    long deadline = legs.wallClock() + Math.round(held.patienceLeft(clock.now()));
+    long deadline = legs.wallClockMillis() + Math.round(held.patienceLeft(clock.now()));
     SavedCall saved =
         new SavedCall(
             held.call(),
             Phase.SETTING_UP,
             order.attempt(),
-            order.first().id(),
-            legs.callerLeg(order.call()),
+            order.nextExchange().id(),
+            legs.encodeCallerLeg(order.call()),
             leg,
             new byte[0],
             deadline);
@@ -111,15 +112,15 @@
   private void whenSafe(Runnable act) {
     store.sync(
         safe -> {
-          unkept += safe ? 0 : 1;
+          unpersistedActions += safe ? 0 : 1;
           act.run();
         });
   }
 
-  private void safeToStart(AttemptOrder order, Kept entry) {
+  private void safeToStart(AttemptRequest order, Kept entry) {
     entry.waiting = -1;
     if (entry.calledOff) {
-      controller.attemptOver(order.call(), order.attempt(), Outcome.CANCELLED, Reason.NONE, 0);
+      setController.attemptEnded(order.call(), order.attempt(), Outcome.CANCELLED, Reason.NONE, 0);
     } else {
       front.startAttempt(order);
     }
@@ -147,17 +148,17 @@
     boolean stands = answer.kind() == FinalAnswer.Kind.STANDS;
     SavedCall before = entry.saved;
     if (stands) {
-      legs.prepareStands(call);
+      legs.prepareSuccess(call);
     }
     entry.saved =
         new SavedCall(
             before.call(),
             stands ? Phase.STANDS : Phase.ANSWERED,
-            controller.call(call).hasAttempt() ? before.attempt() : SavedCall.NONE,
+            setController.call(call).hasAttempt() ? before.attempt() : SavedCall.NONE,
             before.exchange(),
-            legs.callerLeg(call),
-            stands ? legs.attemptLeg(call) : before.attemptLeg(),
-            stands ? new byte[0] : legs.finalAnswer(call, answer),
+            legs.encodeCallerLeg(call),
+            stands ? legs.encodeAttemptLeg(call) : before.attemptLeg(),
+            stands ? new byte[0] : legs.encodeFinalAnswer(call, answer),
             before.deadline());
     store.put(entry.saved);
     whenSafe(() -> safeToAnswer(call, answer));
@@ -166,7 +167,7 @@
   private void safeToAnswer(String call, FinalAnswer answer) {
     front.answer(call, answer);
     if (answer.kind() != FinalAnswer.Kind.STANDS) {
-      clock.after(answeredKept, () -> forget(call));
+      clock.schedule(answeredKept, () -> forget(call));
     }
   }
 
@@ -176,19 +177,19 @@
    *
    * @param answer sends it
    */
-  public void callerLeaves(String call, Runnable answer) {
+  public void callerCancelled(String call, Runnable answer) {
     Kept entry = kept.get(call);
     if (entry == null) {
       answer.run();
     } else if (entry.saved.phase() == Phase.SETTING_UP) {
-      entry.saved = entry.saved.calledOff();
+      entry.saved = entry.saved.cancelled();
       store.put(entry.saved);
       whenSafe(answer);
     }
   }
 
   /** Something of a call that stands has changed, such as an address; the store learns it late. */
-  public void changed(String call) {
+  public void callChanged(String call) {
     Kept entry = kept.get(call);
     if (entry != null && entry.saved.phase() == Phase.STANDS) {
       SavedCall before = entry.saved;
@@ -198,8 +199,8 @@
               Phase.STANDS,
               before.attempt(),
               before.exchange(),
-              legs.refreshed(call, true, before.callerLeg()),
-              legs.refreshed(call, false, before.attemptLeg()),
+              legs.updateLeg(call, true, before.callerLeg()),
+              legs.updateLeg(call, false, before.attemptLeg()),
               before.answer(),
               before.deadline());
       store.put(entry.saved);
@@ -211,18 +212,18 @@
    * did not hear of it is found by asking after a crash. Lost in a crash, the removal leaves a call
    * that stood to be found gone by asking its ends, and an answer to be sent once more alike.
    */
-  public void ended(String call) {
+  public void callRemoved(String call) {
     Kept entry = kept.get(call);
     if (entry != null && entry.saved.phase() != Phase.ANSWERED) {
       entry.ended = true;
-      if (!legs.releasing(call)) {
+      if (!legs.isReleasing(call)) {
         forget(call);
       }
     }
   }
 
   /** All ends that were told of a call's release have answered, or will not. */
-  public void released(String call) {
+  public void releaseCompleted(String call) {
     Kept entry = kept.get(call);
     if (entry != null && entry.ended) {
       forget(call);
@@ -248,22 +249,22 @@
   }
 
   @Override
-  public void probe(ExchangeList.Entry exchange, double askedAt) {
+  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
     front.probe(exchange, askedAt);
   }
 
   @Override
-  public void tell(byte[] payload) {
-    front.tell(payload);
+  public void broadcast(byte[] payload) {
+    front.broadcast(payload);
   }
 
   @Override
-  public void subscribeList() {
-    front.subscribeList();
+  public void subscribeToDirectory() {
+    front.subscribeToDirectory();
   }
 
   @Override
-  public Clockwork clockwork() {
+  public Scheduler scheduler() {
     return clock;
   }
 }
--- a/core/src/test/java/coveladder/core/CallControllerTest.java
+++ b/core/src/test/java/coveladder/core/CallControllerTest.java
@@ -29,11 +29,11 @@
   /** Writes down what the core asks for. */
   private final class Wire implements Signalling {
     @Override
-    public void startAttempt(AttemptOrder order) {
-      wire.add("start " + order.call() + "/" + order.attempt() + " " + order.first().id());
+    public void startAttempt(AttemptRequest order) {
+      wire.add("start " + order.call() + "/" + order.attempt() + " " + order.nextExchange().id());
       if (refuseAtOnce) {
         refuseAtOnce = false;
-        controller.attemptOver(
+        controller.attemptEnded(
             order.call(), order.attempt(), Outcome.SKIPPED, Reason.PROCESSOR_FULL, 0);
       }
     }
@@ -59,22 +59,22 @@
     }
 
     @Override
-    public void probe(ExchangeList.Entry exchange, double askedAt) {
+    public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
       wire.add("probe " + exchange.id());
     }
 
     @Override
-    public void tell(byte[] payload) {
+    public void broadcast(byte[] payload) {
       wire.add("tell " + payload.length);
     }
 
     @Override
-    public void subscribeList() {
+    public void subscribeToDirectory() {
       wire.add("subscribe");
     }
 
     @Override
-    public Clockwork clockwork() {
+    public Scheduler scheduler() {
       return clock;
     }
   }
@@ -159,7 +159,7 @@
             settings,
             new Wire(),
             guard,
-            CallController.Journal.NONE,
+            CallController.Observer.NONE,
             given -> {
               actions = given;
               return new Script();
@@ -171,8 +171,8 @@
   }
 
   private void list(long version, ExchangeState state) {
-    ExchangeList.Entry far = new ExchangeList.Entry("e1", 1, "x1", "sip:s1", state, 0);
-    controller.listNews(new ExchangeList.News(true, 0, version, List.of(far)));
+    ExchangeDirectory.Entry far = new ExchangeDirectory.Entry("e1", 1, "x1", "sip:s1", state, 0);
+    controller.updateDirectory(new ExchangeDirectory.Update(true, 0, version, List.of(far)));
   }
 
   private void call(String id, String number) {
@@ -182,25 +182,25 @@
   @Test
   void aCallThatStandsAndEnds() {
     call("a", "send");
-    clock.run(40);
-    controller.attemptStands("a", 0);
-    controller.attemptStands("a", 0);
-    clock.run(9_000);
-    controller.attemptOver("a", 0, Outcome.DONE, Reason.NONE, 0);
-    controller.attemptOver("a", 0, Outcome.DONE, Reason.NONE, 0);
+    clock.advance(40);
+    controller.attemptAnswered("a", 0);
+    controller.attemptAnswered("a", 0);
+    clock.advance(9_000);
+    controller.attemptEnded("a", 0, Outcome.DONE, Reason.NONE, 0);
+    controller.attemptEnded("a", 0, Outcome.DONE, Reason.NONE, 0);
     assertEquals(List.of("call a", "stands a 40.0", "ended DONE NONE last=true"), events);
     assertEquals(
         List.of("start a/0 e1", "answer a STANDS", "release a/0", "bye a"), wire, wire.toString());
-    assertEquals(0, controller.held());
+    assertEquals(0, controller.callCount());
   }
 
   @Test
   void aTimeOutIsToldOnlyWhenTheWireSaysThatItIsOver() {
     call("a", "send");
-    clock.run(700);
+    clock.advance(700);
     assertEquals(List.of("start a/0 e1", "cancel a/0"), wire);
     assertEquals(List.of("call a"), events);
-    controller.attemptOver("a", 0, Outcome.BUSY, Reason.NO_CIRCUIT, 5);
+    controller.attemptEnded("a", 0, Outcome.BUSY, Reason.NO_CIRCUIT, 5);
     assertEquals("ended TIMED_OUT NONE last=false", events.get(1));
   }
 
@@ -208,22 +208,22 @@
   void theLastGuardHoldsBackWhatWouldBreakARule() {
     call("a", "send");
     actions.send("a", "e1", 500);
-    controller.attemptOver("a", 0, Outcome.RESET, Reason.NONE, 0);
-    clock.run(299);
+    controller.attemptEnded("a", 0, Outcome.RESET, Reason.NONE, 0);
+    clock.advance(299);
     actions.send("a", "e1", 500);
-    clock.run(2);
+    clock.advance(2);
     actions.send("a", "e1", 500);
-    assertEquals(2, guard.heldBack());
+    assertEquals(2, guard.suppressed());
     assertEquals(List.of("start a/0 e1", "start a/3 e1"), wire);
-    controller.attemptOver("a", 3, Outcome.BUSY, Reason.NONE, 0);
+    controller.attemptEnded("a", 3, Outcome.BUSY, Reason.NONE, 0);
     list(2, ExchangeState.DRAINING);
-    clock.run(249);
+    clock.advance(249);
     actions.send("a", "e1", 500);
     assertEquals("start a/4 e1", wire.get(2));
-    controller.attemptOver("a", 4, Outcome.BUSY, Reason.NONE, 0);
-    clock.run(2);
+    controller.attemptEnded("a", 4, Outcome.BUSY, Reason.NONE, 0);
+    clock.advance(2);
     actions.send("a", "e1", 500);
-    assertEquals(3, guard.heldBack());
+    assertEquals(3, guard.suppressed());
   }
 
   @Test
@@ -236,7 +236,7 @@
   @Test
   void aPolicyThatForgetsACallDoesNotCostTheCallerItsAnswer() {
     call("a", "wait");
-    clock.run(2_001);
+    clock.advance(2_001);
     assertEquals(List.of("answer a FAILED"), wire);
     assertEquals(List.of("call a", "left a"), events);
     actions.refuse("a", 0);
@@ -248,20 +248,20 @@
   @Test
   void aCallerThatLeavesHasItsAttemptCalledOff() {
     call("a", "send");
-    controller.callerLeft("a");
-    controller.callerLeft("a");
+    controller.callerAbandoned("a");
+    controller.callerAbandoned("a");
     assertEquals(List.of("start a/0 e1", "cancel a/0"), wire);
-    assertEquals(1, controller.held());
-    controller.attemptOver("a", 0, Outcome.CANCELLED, Reason.NONE, 0);
+    assertEquals(1, controller.callCount());
+    controller.attemptEnded("a", 0, Outcome.CANCELLED, Reason.NONE, 0);
     assertEquals("ended CANCELLED NONE last=true", events.get(2));
-    assertEquals(0, controller.held());
+    assertEquals(0, controller.callCount());
   }
 
   @Test
   void aLateAnswerIsReleasedAndNotTold() {
     call("a", "send");
-    controller.callerLeft("a");
-    controller.attemptStands("a", 0);
+    controller.callerAbandoned("a");
+    controller.attemptAnswered("a", 0);
     assertEquals("release a/0", wire.get(2));
     assertEquals(List.of("call a", "left a"), events);
   }
@@ -269,10 +269,10 @@
   @Test
   void aCalleesOwnAnswerEndsTheCall() {
     call("a", "send");
-    controller.attemptConclusive("a", 0);
+    controller.calleeRejected("a", 0);
     assertEquals(List.of("start a/0 e1", "answer a PASSED"), wire);
     assertEquals("ended ERROR NONE last=true", events.get(1));
-    assertEquals(0, controller.held());
+    assertEquals(0, controller.callCount());
   }
 
   @Test
@@ -290,18 +290,18 @@
             "answer b SHUT_DOWN",
             "answer c SHUT_DOWN"),
         wire);
-    assertEquals(1, controller.outstanding());
+    assertEquals(1, controller.outstandingAttempts());
   }
 
   @Test
   void circuitsAreToldOnceTheListKnowsTheirOtherEnd() {
-    controller.circuits(2, 7, 9, 1);
+    controller.circuitsReported(2, 7, 9, 1);
     assertTrue(events.isEmpty());
-    ExchangeList.Entry far =
-        new ExchangeList.Entry("e2", 2, "x2", "sip:s2", ExchangeState.IN_SERVICE, 0);
-    controller.listNews(new ExchangeList.News(false, 1, 2, List.of(far)));
+    ExchangeDirectory.Entry far =
+        new ExchangeDirectory.Entry("e2", 2, "x2", "sip:s2", ExchangeState.IN_SERVICE, 0);
+    controller.updateDirectory(new ExchangeDirectory.Update(false, 1, 2, List.of(far)));
     assertEquals(List.of("list 1", "report e2 7.0"), events);
-    controller.circuits(2, 5, 9, 1);
+    controller.circuitsReported(2, 5, 9, 1);
     assertEquals(2, events.size(), "an old version tells nothing");
   }
 
--- a/core/src/test/java/coveladder/core/VirtualClock.java
+++ b/core/src/test/java/coveladder/core/VirtualClock.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Virtual time for tests: it passes only when told to. */
-public final class VirtualClock implements Clockwork {
+public final class VirtualClock implements Scheduler {
   private final PriorityQueue<Due> queue = new PriorityQueue<>();
   private double now;
   private long order;
@@ -27,15 +27,15 @@
   }
 
   @Override
-  public Stop after(double delay, Runnable task) {
+  public Timer schedule(double delay, Runnable task) {
     Runnable[] held = {task};
     queue.add(new Due(now + delay, order++, held));
     return () -> held[0] = null;
   }
 
   /** Lets time pass, ms; what is due meanwhile runs at its time. */
-  public void run(double lasts) {
-    double end = now + lasts;
+  public void advance(double durationMillis) {
+    double end = now + durationMillis;
     while (!queue.isEmpty() && queue.peek().at() <= end) {
       Due due = queue.poll();
       now = due.at();
@@ -47,12 +47,12 @@
   }
 
   /** Lets time pass while nothing runs, ms. */
-  public void freeze(double lasts) {
-    now += lasts;
+  public void stall(double durationMillis) {
+    now += durationMillis;
   }
 
   /** Timers that were not due yet, stopped ones included. */
-  public int waiting() {
+  public int scheduledTasks() {
     return queue.size();
   }
 }
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -12,13 +12,13 @@
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
 import coveladder.core.AttemptGuard;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import coveladder.core.FinalAnswer;
-import coveladder.core.HeldCall;
+import coveladder.core.Scheduler;
 import coveladder.core.Signalling;
+import coveladder.core.TrackedCall;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -87,9 +87,9 @@
   }
 
   /** One life of the controller. */
-  private final class Life implements Signalling, Legs, Clockwork {
+  private final class Life implements Signalling, CallLegs, Scheduler {
     final MemoryStore store;
-    final WriteAhead writeAhead;
+    final WriteAheadSignalling writeAhead;
     final CallController controller;
     final Recovery recovery;
     private final PriorityQueue<double[]> due = new PriorityQueue<>((a, b) -> compare(a, b));
@@ -99,7 +99,7 @@
 
     Life(MemoryStore store) {
       this.store = store;
-      this.writeAhead = new WriteAhead(this, this, store, 32_000);
+      this.writeAhead = new WriteAheadSignalling(this, this, store, 32_000);
       CallClass kind = new CallClass(1, 0, 1_000, 3_000, 1, 5_000, List.of());
       CallPolicy.Settings settings =
           new CallPolicy.Settings(
@@ -120,17 +120,17 @@
               10_000,
               3,
               3_000);
-      CallController.Journal journal =
-          new CallController.Journal() {
+      CallController.Observer journal =
+          new CallController.Observer() {
             @Override
-            public void ended(HeldCall call) {
-              writeAhead.ended(call.call().id());
+            public void callRemoved(TrackedCall call) {
+              writeAhead.callRemoved(call.call().id());
             }
           };
       controller =
           new CallController(
               settings, writeAhead, new AttemptGuard(300, 250), journal, Simple::new);
-      writeAhead.controller(controller);
+      writeAhead.setController(controller);
       recovery =
           new Recovery(
               controller,
@@ -138,13 +138,13 @@
               store,
               this,
               this,
-              new RecoveryPace(new RecoveryPace.Budget(1_000, 10), 0.3, 10_000),
+              new RecoveryRate(new RecoveryRate.Budget(1_000, 10), 0.3, 10_000),
               2_000);
       controller.start();
-      ExchangeList.Entry far =
-          new ExchangeList.Entry("e1", 1, "x1", "sip:s1", ExchangeState.IN_SERVICE, 0);
-      controller.listNews(new ExchangeList.News(true, 0, 1, List.of(far)));
-      recovery.begin();
+      ExchangeDirectory.Entry far =
+          new ExchangeDirectory.Entry("e1", 1, "x1", "sip:s1", ExchangeState.IN_SERVICE, 0);
+      controller.updateDirectory(new ExchangeDirectory.Update(true, 0, 1, List.of(far)));
+      recovery.start();
     }
 
     private static int compare(double[] a, double[] b) {
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public Stop after(double delay, Runnable task) {
+    public Timer schedule(double delay, Runnable task) {
       double own = order++;
       due.add(new double[] {now + delay, own});
       tasks.put(own, task);
@@ -181,14 +181,14 @@
     }
 
     @Override
-    public Clockwork clockwork() {
+    public Scheduler scheduler() {
       return this;
     }
 
     // ---- As a front -------------------------------------------------------------------------
 
     @Override
-    public void startAttempt(AttemptOrder order) {
+    public void startAttempt(AttemptRequest order) {
       boundary();
       peers.invite(order.call() + "/" + order.attempt());
       boundary();
@@ -199,7 +199,8 @@
       boundary();
       String key = call + "/" + attempt;
       if (peers.attempts.replace(key, "over") != null) {
-        after(1, () -> controller.attemptOver(call, attempt, Outcome.CANCELLED, Reason.NONE, 0));
+        schedule(
+            1, () -> controller.attemptEnded(call, attempt, Outcome.CANCELLED, Reason.NONE, 0));
       }
     }
 
@@ -224,13 +225,13 @@
     }
 
     @Override
-    public void probe(ExchangeList.Entry exchange, double askedAt) {}
+    public void probe(ExchangeDirectory.Entry exchange, double askedAt) {}
 
     @Override
-    public void tell(byte[] payload) {}
+    public void broadcast(byte[] payload) {}
 
     @Override
-    public void subscribeList() {}
+    public void subscribeToDirectory() {}
 
     // ---- Legs -------------------------------------------------------------------------------
 
@@ -239,40 +240,40 @@
     }
 
     @Override
-    public byte[] callerLeg(String call) {
+    public byte[] encodeCallerLeg(String call) {
       return bytes(call);
     }
 
     @Override
-    public byte[] prepareAttempt(AttemptOrder order) {
+    public byte[] prepareAttempt(AttemptRequest order) {
       return bytes(order.call() + "/" + order.attempt());
     }
 
     @Override
-    public byte[] attemptLeg(String call) {
+    public byte[] encodeAttemptLeg(String call) {
       return bytes(call);
     }
 
     @Override
-    public byte[] finalAnswer(String call, FinalAnswer answer) {
+    public byte[] encodeFinalAnswer(String call, FinalAnswer answer) {
       return bytes(answer.kind().name());
     }
 
     @Override
-    public byte[] refreshed(String call, boolean ofCaller, byte[] before) {
+    public byte[] updateLeg(String call, boolean ofCaller, byte[] before) {
       return before;
     }
 
     @Override
-    public boolean releasing(String call) {
+    public boolean isReleasing(String call) {
       return false;
     }
 
     @Override
-    public void prepareStands(String call) {}
+    public void prepareSuccess(String call) {}
 
     @Override
-    public long wallClock() {
+    public long wallClockMillis() {
       return 1_000_000;
     }
 
@@ -285,48 +286,48 @@
     }
 
     @Override
-    public void verify(String call, boolean ofCaller, Consumer<Held> told) {
+    public void verify(String call, boolean ofCaller, Consumer<LegStatus> told) {
       boundary();
-      int attempt = controller.call(call).attempts() - 1;
+      int attempt = controller.call(call).attemptCount() - 1;
       boolean far = peers.attempts.getOrDefault(call + "/" + attempt, "").equals("stands");
       boolean left = peers.hungUp.getOrDefault(call, false);
-      told.accept((ofCaller ? !left : far) ? Held.YES : Held.GONE);
+      told.accept((ofCaller ? !left : far) ? LegStatus.ACTIVE : LegStatus.GONE);
     }
 
     @Override
-    public void letGo(String call, boolean ofCaller) {
+    public void releaseLost(String call, boolean ofCaller) {
       if (ofCaller) {
         controller.callerReleased(call);
       } else {
-        int attempt = controller.call(call).attempts() - 1;
-        controller.attemptOver(call, attempt, Outcome.RESET, Reason.NONE, 0);
+        int attempt = controller.call(call).attemptCount() - 1;
+        controller.attemptEnded(call, attempt, Outcome.RESET, Reason.NONE, 0);
       }
     }
 
     @Override
-    public void expectCaller(
+    public void restoreCallerLeg(
         SavedCall saved, Consumer<Runnable> whenCalledOff, Runnable whenRepeated) {}
 
     @Override
-    public void callOff(SavedCall saved, Runnable over) {
+    public void cancelAfterRestart(SavedCall saved, Runnable over) {
       boundary();
       peers.attempts.replace(saved.id() + "/" + saved.attempt(), "over");
-      after(1, over);
+      schedule(1, over);
     }
 
     @Override
-    public byte[] cutShortAnswer(SavedCall saved, FinalAnswer answer) {
+    public byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer) {
       return bytes(answer.kind().name());
     }
 
     @Override
-    public void answerCalledOff(SavedCall saved) {
+    public void answerCancelled(SavedCall saved) {
       boundary();
       peers.answer(saved.id(), "487");
     }
 
     @Override
-    public void answerAgain(SavedCall saved) {
+    public void resendFinalAnswer(SavedCall saved) {
       boundary();
       peers.answer(saved.id(), new String(saved.answer(), StandardCharsets.UTF_8));
     }
@@ -394,8 +395,8 @@
     steps.add(
         life -> {
           if (life.controller.call("c3") != null) {
-            life.writeAhead.callerLeaves("c3", () -> peers.answer("c3", "487"));
-            life.controller.callerLeft("c3");
+            life.writeAhead.callerCancelled("c3", () -> peers.answer("c3", "487"));
+            life.controller.callerAbandoned("c3");
           }
         });
     steps.add(life -> far(life, peers, "c4", 0, "stands"));
@@ -416,13 +417,13 @@
     String state = peers.attempts.get(key);
     if (what.equals("over") && "stands".equals(state)) {
       peers.attempts.put(key, "over");
-      life.controller.attemptOver(call, attempt, Outcome.DONE, Reason.NONE, 0);
+      life.controller.attemptEnded(call, attempt, Outcome.DONE, Reason.NONE, 0);
     } else if ("out".equals(state) && what.equals("stands")) {
       peers.attempts.put(key, "stands");
-      life.controller.attemptStands(call, attempt);
+      life.controller.attemptAnswered(call, attempt);
     } else if ("out".equals(state) && what.equals("busy")) {
       peers.attempts.put(key, "over");
-      life.controller.attemptOver(call, attempt, Outcome.BUSY, Reason.NO_CIRCUIT, 0);
+      life.controller.attemptEnded(call, attempt, Outcome.BUSY, Reason.NO_CIRCUIT, 0);
     }
   }
 
@@ -478,7 +479,7 @@
           boolean kept = held && state.equals("stands") && peers.stands(call);
           assertTrue(state.equals("over") || kept, key + " is " + state);
         });
-    assertTrue(life.recovery.done());
+    assertTrue(life.recovery.isComplete());
   }
 
   @Test
@@ -529,6 +530,6 @@
 
   @Test
   void aBudgetOfNothingIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new RecoveryPace.Budget(0, 0));
+    assertThrows(IllegalArgumentException.class, () -> new RecoveryRate.Budget(0, 0));
   }
 }
--- a/core/src/test/java/coveladder/core/recovery/MemoryStore.java
+++ b/core/src/test/java/coveladder/core/recovery/MemoryStore.java
@@ -40,15 +40,15 @@
   }
 
   @Override
-  public Found found() {
-    return new Found(new ArrayList<>(safe.values()), List.of(), false, 1);
+  public Contents initialContents() {
+    return new Contents(new ArrayList<>(safe.values()), List.of(), false, 1);
   }
 
   @Override
-  public void caughtUp() {}
+  public void markUpToDate() {}
 
   @Override
-  public void begunAnew(Runnable putAll) {}
+  public void onRecreated(Runnable putAll) {}
 
   /** The disk ends its work: all so far is safe, or is not, and those who wait hear of it. */
   void flush() {
--- a/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
@@ -1,8 +1,8 @@
 package coveladder.isupfront;
 
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
 import coveladder.core.FinalAnswer;
+import coveladder.core.Scheduler;
 import coveladder.isup.CallerMessage;
 import coveladder.isup.Cause;
 import coveladder.isup.MalformedException;
@@ -19,7 +19,7 @@
 /** What callers ask: set-ups, give-ups, releases and tests, each answered once. */
 final class CallerCalls {
   private final CallController controller;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Limits limits;
   private final SetUp.Reader reader;
   private final ReleaseKeeper releases;
@@ -45,7 +45,7 @@
 
   CallerCalls(
       CallController controller,
-      Clockwork clock,
+      Scheduler clock,
       Limits limits,
       SetUp.Reader reader,
       ReleaseKeeper releases,
@@ -235,7 +235,7 @@
   private void takenBack(String id) {
     answered(id);
     calls.remove(id);
-    controller.callerLeft(id);
+    controller.callerAbandoned(id);
   }
 
   private void answered(String id) {
@@ -283,8 +283,8 @@
   private static CallerMessage refusal(String id, FinalAnswer answer) {
     CallerMessage message =
         CallerMessage.withCause(CallerMessage.RELEASE, id, Outcomes.cause(answer));
-    if (answer.comeBack() > 0) {
-      String wait = Long.toString((long) Math.ceil(answer.comeBack()));
+    if (answer.retryAfterMillis() > 0) {
+      String wait = Long.toString((long) Math.ceil(answer.retryAfterMillis()));
       message.parameters().put(CallerMessage.WAIT, wait.getBytes(StandardCharsets.US_ASCII));
     }
     return message;
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFront.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFront.java
@@ -2,13 +2,13 @@
 
 import coveladder.CallPolicy;
 import coveladder.core.AttemptGuard;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import coveladder.core.FinalAnswer;
-import coveladder.core.HeldCall;
+import coveladder.core.Scheduler;
 import coveladder.core.Signalling;
+import coveladder.core.TrackedCall;
 import coveladder.isupfront.Wires.Wire;
 import coveladder.isupfront.Wires.WireUser;
 import java.util.List;
@@ -37,7 +37,7 @@
   private static final double CROSSING = 100;
 
   private final PlatformSettings settings;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Counters counters = new Counters();
   private final CallController controller;
   private final SwitchLinks switches;
@@ -57,7 +57,7 @@
       PlatformSettings settings,
       Limits limits,
       Wires wires,
-      Clockwork clock,
+      Scheduler clock,
       Function<CallPolicy.Actions, CallPolicy> policies) {
     this.settings = settings;
     this.clock = clock;
@@ -92,13 +92,13 @@
    */
   private boolean canBeCalled(int number) {
     return number >= 0 && number < settings.policy().controllerCount()
-        || controller.list().knows(number);
+        || controller.directory().hasEverListed(number);
   }
 
   /** Hears which calls are over. */
-  private final class Ends implements CallController.Journal {
+  private final class Ends implements CallController.Observer {
     @Override
-    public void ended(HeldCall call) {
+    public void callRemoved(TrackedCall call) {
       callers.ended(call.call().id());
     }
   }
@@ -115,7 +115,7 @@
     callers.sweep();
     journal.sweep();
     end();
-    clock.after(SWEEP, this::sweep);
+    clock.schedule(SWEEP, this::sweep);
   }
 
   /** A caller connected. */
@@ -170,7 +170,7 @@
   /** One line on what is held. */
   public String state() {
     return "calls "
-        + controller.held()
+        + controller.callCount()
         + ", unanswered "
         + callers.open()
         + ", standing "
@@ -191,7 +191,7 @@
   // ---- What the core asks for ---------------------------------------------------------------
 
   @Override
-  public void startAttempt(AttemptOrder order) {
+  public void startAttempt(AttemptRequest order) {
     switches.start(order, callers.setUp(order.call()));
   }
 
@@ -216,22 +216,22 @@
   }
 
   @Override
-  public void probe(ExchangeList.Entry exchange, double askedAt) {
+  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
     switches.probe(exchange, askedAt);
   }
 
   @Override
-  public void tell(byte[] payload) {
+  public void broadcast(byte[] payload) {
     counters.count("messages to other controllers, which the protocol does not carry");
   }
 
   @Override
-  public void subscribeList() {
+  public void subscribeToDirectory() {
     // The journal service is followed from the start.
   }
 
   @Override
-  public Clockwork clockwork() {
+  public Scheduler scheduler() {
     return clock;
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -1,8 +1,8 @@
 package coveladder.isupfront;
 
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
+import coveladder.core.Scheduler;
 import coveladder.isup.JournalLine;
 import coveladder.isup.LineFramer;
 import coveladder.isup.MalformedException;
@@ -28,7 +28,7 @@
   private static final int LONGEST_LINE = 4 << 20;
 
   private final CallController controller;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Wires wires;
   private final Counters counters;
   private final Runnable changed;
@@ -39,7 +39,7 @@
 
   JournalFollower(
       CallController controller,
-      Clockwork clock,
+      Scheduler clock,
       Wires wires,
       Counters counters,
       PlatformSettings.Address address,
@@ -101,7 +101,7 @@
     }
 
     private void wait(double delay) {
-      clock.after(delay, JournalFollower.this::connect);
+      clock.schedule(delay, JournalFollower.this::connect);
     }
   }
 
@@ -136,7 +136,7 @@
     if (link == dead) {
       dead.wire.reset();
       link = null;
-      clock.after(after, this::connect);
+      clock.schedule(after, this::connect);
     }
   }
 
@@ -160,10 +160,10 @@
       return;
     }
     pos = line.position();
-    List<ExchangeList.Entry> entries = new ArrayList<>();
+    List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     for (JournalLine.Entry entry : line.entries()) {
       entries.add(
-          new ExchangeList.Entry(
+          new ExchangeDirectory.Entry(
               entry.id(),
               entry.exchangeNumber(),
               "",
@@ -171,8 +171,9 @@
               ReportReader.state(entry.state()),
               entry.startedAtMillis()));
     }
-    controller.listNews(
-        new ExchangeList.News(line.snapshot(), controller.list().version(), pos, entries));
+    controller.updateDirectory(
+        new ExchangeDirectory.Update(
+            line.snapshot(), controller.directory().version(), pos, entries));
     changed.run();
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/ReleaseKeeper.java
+++ b/isupfront/src/main/java/coveladder/isupfront/ReleaseKeeper.java
@@ -1,6 +1,6 @@
 package coveladder.isupfront;
 
-import coveladder.core.Clockwork;
+import coveladder.core.Scheduler;
 import coveladder.isup.CallerMessage;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -18,7 +18,7 @@
   private static final double KEPT_FOR = 30_000;
   private static final int MOST_SURE = 256;
 
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Set<CallerLink> usual = new LinkedHashSet<>();
   private final Map<String, Sent> owed = new LinkedHashMap<>();
 
@@ -30,7 +30,7 @@
    */
   record Sent(int cause, double at) {}
 
-  ReleaseKeeper(Clockwork clock) {
+  ReleaseKeeper(Scheduler clock) {
     this.clock = clock;
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -4,8 +4,8 @@
 import coveladder.CallPolicy.Load;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
-import coveladder.core.ExchangeList;
+import coveladder.core.AttemptRequest;
+import coveladder.core.ExchangeDirectory;
 import coveladder.isup.SwitchMessage;
 import coveladder.isupfront.Wires.Loss;
 import coveladder.wire.ReportReader;
@@ -55,7 +55,7 @@
   private final Map<String, Standing> standing = new LinkedHashMap<>();
   private final RecentIds givenUp = new RecentIds(MOST_GIVEN_UP);
   private final Set<String> toRelease = new LinkedHashSet<>();
-  private ExchangeList.Entry entry;
+  private ExchangeDirectory.Entry entry;
   private boolean stateKnown;
   private boolean followed = true;
   private double heard;
@@ -66,12 +66,12 @@
 
   /** A set-up that is out. */
   static final class Out {
-    final AttemptOrder order;
+    final AttemptRequest order;
     final SetUp setUp;
     final double since;
     boolean sent;
 
-    Out(AttemptOrder order, SetUp setUp, double since) {
+    Out(AttemptRequest order, SetUp setUp, double since) {
       this.order = order;
       this.setUp = setUp;
       this.since = since;
@@ -86,7 +86,7 @@
    */
   private record Standing(int attempt, double since) {}
 
-  SwitchLink(ExchangeList.Entry entry, SwitchLinks links) {
+  SwitchLink(ExchangeDirectory.Entry entry, SwitchLinks links) {
     this.entry = entry;
     this.links = links;
     this.address = PlatformSettings.Address.of("address", entry.address());
@@ -284,12 +284,12 @@
    * The list names a later start: what stood there before was cut with the old process. Guards
    * against calls left standing where a machine fell silent and came back before it was given up.
    */
-  void listed(ExchangeList.Entry now) {
-    boolean startedAgain = now.started() > entry.started();
+  void listed(ExchangeDirectory.Entry now) {
+    boolean startedAgain = now.startedAt() > entry.startedAt();
     entry = now;
     if (startedAgain) {
       links.counters().count("switches that started again");
-      cutThoseBefore(now.started());
+      cutThoseBefore(now.startedAt());
     }
   }
 
@@ -334,7 +334,7 @@
    * Puts a set-up on a connection. It leaves at the next turn, after all that is there to be heard:
    * a caller who has gone by then, in whatever way, ends it unsent.
    */
-  void start(AttemptOrder order, SetUp setUp) {
+  void start(AttemptRequest order, SetUp setUp) {
     Out out = new Out(order, setUp, links.now());
     SwitchWire wire = pick();
     wire.outs().put(order.call(), out);
@@ -359,7 +359,7 @@
       return;
     }
     out.sent = true;
-    double left = Math.max(1, out.order.within() - (links.now() - out.since));
+    double left = Math.max(1, out.order.timeoutMillis() - (links.now() - out.since));
     Map<String, String> attrs = new LinkedHashMap<>();
     attrs.put("class", out.setUp.className());
     attrs.put("key", out.setUp.number());
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
@@ -5,10 +5,10 @@
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
 import coveladder.core.AttemptGuard;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
+import coveladder.core.Scheduler;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -20,7 +20,7 @@
   private static final double KNOWN_WITHIN = 1_000;
 
   private final CallController controller;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Wires wires;
   private final Limits limits;
   private final Counters counters;
@@ -35,7 +35,7 @@
 
   SwitchLinks(
       CallController controller,
-      Clockwork clock,
+      Scheduler clock,
       Wires wires,
       Limits limits,
       Counters counters,
@@ -76,7 +76,7 @@
 
   /** Whether something new may go to a switch: it is in service, or within its grace. */
   boolean maySend(String exchange) {
-    return guard.withinGrace(controller.list().closedSince(exchange), clock.now());
+    return guard.withinDrainGrace(controller.directory().closedSince(exchange), clock.now());
   }
 
   /** A number from 0 to 1, drawn from the seed: what all controllers do is spread by it. */
@@ -85,20 +85,20 @@
   }
 
   void after(double delay, Runnable task) {
-    clock.after(delay, task);
+    clock.schedule(delay, task);
   }
 
   /** The list has changed. */
   void follow() {
-    ExchangeList list = controller.list();
+    ExchangeDirectory list = controller.directory();
     for (SwitchLink link : new ArrayList<>(links.values())) {
-      ExchangeList.Entry entry = list.byId(link.id());
+      ExchangeDirectory.Entry entry = list.byId(link.id());
       if (entry == null || !entry.address().equals(link.address())) {
         links.remove(link.id());
         link.unfollow();
       }
     }
-    for (ExchangeList.Entry entry : list.entries()) {
+    for (ExchangeDirectory.Entry entry : list.entries()) {
       if (entry.number() != self && entry.state() != ExchangeState.GONE) {
         links.computeIfAbsent(entry.id(), id -> new SwitchLink(entry, this)).listed(entry);
       }
@@ -124,10 +124,10 @@
 
   // ---- What the controller asks for ---------------------------------------------------------
 
-  void start(AttemptOrder order, SetUp setUp) {
-    SwitchLink link = links.get(order.first().id());
+  void start(AttemptRequest order, SetUp setUp) {
+    SwitchLink link = links.get(order.nextExchange().id());
     if (link == null || setUp == null) {
-      clock.after(0, () -> over(order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN));
+      clock.schedule(0, () -> over(order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN));
       return;
     }
     byCall.put(order.call(), link);
@@ -139,10 +139,10 @@
     SwitchLink link = byCall.get(call);
     if (link != null && link.giveUp(call, attempt)) {
       byCall.remove(call);
-      clock.after(
+      clock.schedule(
           0,
           () ->
-              controller.attemptOver(
+              controller.attemptEnded(
                   call, attempt, Outcome.CANCELLED, Reason.NONE, 0, Load.UNKNOWN));
     }
   }
@@ -164,7 +164,7 @@
     return link != null;
   }
 
-  void probe(ExchangeList.Entry exchange, double askedAt) {
+  void probe(ExchangeDirectory.Entry exchange, double askedAt) {
     SwitchLink link = links.get(exchange.id());
     if (link != null) {
       probes.put(exchange.id(), askedAt);
@@ -174,19 +174,19 @@
 
   // ---- What the links tell ------------------------------------------------------------------
 
-  void stands(AttemptOrder order, String description) {
+  void stands(AttemptRequest order, String description) {
     descriptions.accept(order.call(), description);
-    controller.attemptStands(order.call(), order.attempt());
+    controller.attemptAnswered(order.call(), order.attempt());
   }
 
-  void over(AttemptOrder order, Outcome outcome, Reason reason, Load load) {
+  void over(AttemptRequest order, Outcome outcome, Reason reason, Load load) {
     byCall.remove(order.call());
-    controller.attemptOver(order.call(), order.attempt(), outcome, reason, 0, load);
+    controller.attemptEnded(order.call(), order.attempt(), outcome, reason, 0, load);
   }
 
   void standingOver(String call, int attempt, Outcome outcome, Load load) {
     byCall.remove(call);
-    controller.attemptOver(call, attempt, outcome, Reason.NONE, 0, load);
+    controller.attemptEnded(call, attempt, outcome, Reason.NONE, 0, load);
   }
 
   void cut(String call, int attempt) {
@@ -194,13 +194,13 @@
   }
 
   void figures(String exchange, Load load) {
-    controller.figures(exchange, load);
+    controller.unsolicitedLoadReported(exchange, load);
   }
 
   void probed(String exchange, boolean good) {
     Double askedAt = probes.remove(exchange);
     if (askedAt != null) {
-      controller.probed(exchange, good, askedAt);
+      controller.probeCompleted(exchange, good, askedAt);
     }
   }
 
--- a/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
@@ -136,7 +136,7 @@
     Bed.FakeWire usual = bed.caller();
     usual.feed(Bed.setUp(8));
     bed.to(2).feed(Bed.ready(8, "answer"));
-    bed.clock.run(2_300);
+    bed.clock.advance(2_300);
     assertTrue(caller.ended);
     assertTrue(half.ended);
     assertFalse(usual.ended);
@@ -145,9 +145,9 @@
   @Test
   void whereThereAreTooManyConnectionsTheLongestSilentMakesRoom() {
     caller.feed(Bed.setUp(7));
-    bed.clock.run(10);
+    bed.clock.advance(10);
     Bed.FakeWire silent = bed.caller();
-    bed.clock.run(10);
+    bed.clock.advance(10);
     for (int i = 0; i < 3; i++) {
       assertFalse(bed.caller().ended);
     }
@@ -160,7 +160,7 @@
     caller.feed(Bed.setUp(7));
     bed.to(2).feed(Bed.ready(7, "answer"));
     for (int i = 0; i < 20; i++) {
-      bed.clock.run(10);
+      bed.clock.advance(10);
       bed.caller().feed(CallerCodec.encode(CallerMessage.withCause(52, Bed.id(0), 0)));
     }
     assertFalse(caller.ended);
@@ -175,8 +175,8 @@
     for (int i = 1; i <= 300; i++) {
       caller.feed(Bed.release(i));
     }
-    bed.clock.run(10);
-    assertEquals(0, bed.front.controller().held());
+    bed.clock.advance(10);
+    assertEquals(0, bed.front.controller().callCount());
     assertEquals(300, caller.news().size());
   }
 
@@ -187,8 +187,8 @@
       wire.feed(Bed.setUp(i));
       wire.lose(Loss.CLOSED);
     }
-    bed.clock.run(100);
-    assertEquals(0, bed.front.controller().held());
+    bed.clock.advance(100);
+    assertEquals(0, bed.front.controller().callCount());
     assertTrue(bed.front.state().contains("caller links 1,"), bed.front.state());
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/Bed.java
+++ b/isupfront/src/test/java/coveladder/isupfront/Bed.java
@@ -112,7 +112,7 @@
     /** Octets that were read at an earlier clock. */
     void feedAt(byte[] octets, double arrived) {
       user.received(octets, arrived);
-      clock.run(0);
+      clock.advance(0);
     }
 
     /** Octets that are there to be heard before the front's next turn. */
--- a/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
@@ -47,7 +47,7 @@
     bed.to(2).feed(Bed.close(7, 16, "\"load\":\"x0:4;x1:30\""));
     assertEquals(List.of("12 7 cause 16"), caller.news());
     assertEquals(List.of("call 7 3000", "stands 7", "ended 7 DONE NONE last"), script.news());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @ParameterizedTest
@@ -73,7 +73,7 @@
   void whatTimedOutIsOverWithItsGiveUpAndItsLateAnswerIsReleased() {
     caller.feed(Bed.setUp(7));
     bed.to(2).news();
-    bed.clock.run(1_000);
+    bed.clock.advance(1_000);
     assertEquals(List.of("CLOSE 7 16"), bed.to(2).news());
     assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), script.news());
     assertEquals(List.of("12 7 cause 34 wait 250"), caller.news());
@@ -86,9 +86,9 @@
   @Test
   void aSetUpThatWaitsForItsConnectionInVainNeverLeaves() {
     bed.to(2).lose(Loss.CLOSED);
-    bed.clock.run(60);
+    bed.clock.advance(60);
     caller.feed(Bed.setUp(7));
-    bed.clock.run(1_000);
+    bed.clock.advance(1_000);
     bed.to(2).open();
     assertEquals(List.of(), bed.to(2).news());
     assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), script.news());
@@ -97,7 +97,7 @@
   @Test
   void aRefusedConnectionProvesThatNothingRan() {
     bed.to(2).lose(Loss.CLOSED);
-    bed.clock.run(60);
+    bed.clock.advance(60);
     caller.feed(Bed.setUp(7));
     bed.to(2).lose(Loss.TURNED_AWAY);
     assertEquals(List.of("call 7 3000", "ended 7 REFUSED NONE"), script.news());
@@ -108,7 +108,7 @@
     caller.feed(Bed.setUp(7));
     bed.to(2).lose(Loss.CLOSED);
     assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), script.news());
-    bed.clock.run(60);
+    bed.clock.advance(60);
     bed.to(2).open();
     caller.feed(Bed.setUp(8));
     Bed.FakeWire spoilt = bed.to(2);
@@ -123,7 +123,7 @@
     caller.feed(Bed.setUp(7));
     Bed.FakeWire wire = bed.to(2);
     wire.feed("{\"msg\":\"ready\",\"sid\":\"00".getBytes());
-    bed.clock.run(500);
+    bed.clock.advance(500);
     assertTrue(wire.ended);
     assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), script.news());
   }
@@ -162,8 +162,8 @@
     assertEquals(
         List.of("OPEN 7 voice offer7", "CLOSE 7 16", "OPEN 8 voice offer8", "CLOSE 8 16"),
         bed.to(2).news());
-    bed.clock.run(10);
-    assertEquals(0, bed.front.controller().held());
+    bed.clock.advance(10);
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -213,7 +213,7 @@
   void aReleaseWrittenAsItsConnectionEndsIsWrittenAgain() {
     standing(7);
     bed.to(2).feed(Bed.close(7, 16, ""));
-    bed.clock.run(100);
+    bed.clock.advance(100);
     caller.lose(Loss.CLOSED);
     Bed.FakeWire other = bed.caller();
     other.feed(Bed.setUp(8));
@@ -230,7 +230,7 @@
     second.open();
     assertNotSame(first, second);
     first.feed("noise");
-    bed.clock.run(1);
+    bed.clock.advance(1);
     Bed.FakeWire third = bed.to(2);
     assertNotSame(second, third);
     third.open();
@@ -265,7 +265,7 @@
       bed.to(2).lose(Loss.CLOSED);
     }
     for (double since = 0; since < lasts; since += 260) {
-      bed.clock.run(260);
+      bed.clock.advance(260);
       if (bed.to(2) != null) {
         bed.to(2).lose(Loss.TURNED_AWAY);
       }
@@ -299,7 +299,7 @@
     standing(7);
     Bed.FakeWire silent = bed.to(2);
     double fellSilent = bed.clock.now();
-    bed.clock.run(4_800);
+    bed.clock.advance(4_800);
     assertNotSame(silent, bed.to(2));
     int tries = 0;
     while (caller.sent.isEmpty() && bed.clock.now() - fellSilent < 7_900) {
@@ -308,7 +308,7 @@
         made.lose(Loss.NOT_MADE);
         tries++;
       }
-      bed.clock.run(100);
+      bed.clock.advance(100);
     }
     assertEquals(List.of("12 7 cause 41"), caller.news());
     assertTrue(tries >= 3, "tries before it was given up: " + tries);
@@ -318,7 +318,7 @@
   void aSetUpWhoseGiveUpIsThereAlreadyNeverLeaves() {
     caller.feedTogether(Bed.setUp(7));
     caller.feedTogether(Bed.release(7));
-    bed.clock.run(1_000);
+    bed.clock.advance(1_000);
     assertEquals(List.of(), bed.to(2).news());
     assertEquals(List.of("16 7"), caller.news());
   }
@@ -327,9 +327,9 @@
   void aSetUpWhoseCallerClosedAlreadyNeverLeaves() {
     caller.feedTogether(Bed.setUp(7));
     caller.lose(Loss.CLOSED);
-    bed.clock.run(1_000);
+    bed.clock.advance(1_000);
     assertEquals(List.of(), bed.to(2).news());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -340,9 +340,9 @@
         .feed(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"terminating\"}]}}");
-    bed.clock.run(400);
+    bed.clock.advance(400);
     bed.to(2).open();
-    bed.clock.run(1);
+    bed.clock.advance(1);
     assertEquals(List.of(), bed.to(2).news());
     assertEquals(List.of("12 7 cause 34 wait 250"), caller.news());
   }
@@ -352,9 +352,9 @@
     bed.to(2).lose(Loss.CLOSED);
     caller.feed(Bed.setUp(7));
     caller.lose(Loss.CLOSED);
-    bed.clock.run(200);
+    bed.clock.advance(200);
     bed.to(2).open();
-    bed.clock.run(200);
+    bed.clock.advance(200);
     assertEquals(List.of(), bed.to(2).news());
   }
 
@@ -363,7 +363,7 @@
     standing(7);
     for (int i = 0; i < 600; i++) {
       int before = bed.connected.size();
-      bed.clock.run(100);
+      bed.clock.advance(100);
       bed.connected.stream().skip(before).forEach(Bed.FakeWire::open);
     }
     long made = bed.connected.stream().filter(w -> w.port == 2).count();
@@ -385,7 +385,7 @@
       one.to(2).lose(Loss.CLOSED);
       double since = one.clock.now();
       while (one.to(2) == null) {
-        one.clock.run(1);
+        one.clock.advance(1);
       }
       again.add(one.clock.now() - since);
     }
@@ -396,7 +396,7 @@
   void callsFromBeforeASwitchStartedAgainAreReleasedAndLaterOnesStand() {
     standing(7);
     double started = bed.clock.now() + 10;
-    bed.clock.run(20);
+    bed.clock.advance(20);
     standing(8);
     bed.to(8500)
         .feed(
@@ -428,7 +428,7 @@
     byte[] setUp = Bed.setUp(7);
     caller.feed(Arrays.copyOf(setUp, setUp.length - 1));
     double arrived = bed.clock.now();
-    bed.clock.freeze(800);
+    bed.clock.stall(800);
     caller.feedAt(Arrays.copyOfRange(setUp, setUp.length - 1, setUp.length), arrived);
     assertEquals(List.of("call 7 2200"), script.news());
   }
--- a/isupfront/src/test/java/coveladder/isupfront/LifeTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/LifeTest.java
@@ -63,7 +63,7 @@
   @Test
   void aTestPassesInTheEndWhereAGroupStaysUnknown() {
     Bed.FakeWire caller = bed.caller();
-    bed.clock.run(1_100);
+    bed.clock.advance(1_100);
     caller.feed(test());
     assertEquals(List.of("53 0 cause 1"), caller.news());
   }
@@ -77,7 +77,7 @@
     journal.feed("2");
     assertEquals(List.of("list s1 DRAINING"), listed());
     journal.feed(event(4, "s1", "terminated"));
-    bed.clock.run(50);
+    bed.clock.advance(50);
     assertTrue(journal.ended);
     assertEquals(List.of("tail 2"), bed.to(8500).news());
     assertEquals(List.of(), listed());
@@ -88,7 +88,7 @@
     Bed.FakeWire journal = bed.to(8500);
     journal.feed(event(2, "s1", "terminating").substring(0, 40).getBytes());
     journal.lose(Loss.CLOSED);
-    bed.clock.run(1);
+    bed.clock.advance(1);
     assertEquals(List.of("tail 1"), bed.to(8500).news());
     bed.to(8500).feed(event(2, "s1", "terminating"));
     assertEquals(List.of("list s1 DRAINING"), listed());
@@ -97,7 +97,7 @@
   @Test
   void aServiceThatFellSilentIsAskedAgainInTime() {
     Bed.FakeWire journal = bed.to(8500);
-    bed.clock.run(1_700);
+    bed.clock.advance(1_700);
     assertTrue(journal.ended);
     assertEquals(List.of("tail 1"), bed.to(8500).news());
   }
@@ -106,7 +106,7 @@
   void aNumberThatRanAheadShowsAnEventLeftOut() {
     Bed.FakeWire journal = bed.to(8500);
     journal.feed("3");
-    bed.clock.run(50);
+    bed.clock.advance(50);
     assertNotSame(journal, bed.to(8500));
   }
 
@@ -116,7 +116,7 @@
     journal.feed(event(2, "s1", "terminating"));
     String moved = new String(Bed.CONFIG, StandardCharsets.UTF_8).replace("8500", "8600");
     bed.front.reconfigure(PlatformSettings.read(moved.getBytes(StandardCharsets.UTF_8)));
-    bed.clock.run(1);
+    bed.clock.advance(1);
     assertTrue(journal.ended);
     assertEquals(List.of("tail 2"), bed.to(8600).news());
   }
@@ -125,7 +125,7 @@
   void nothingNewGoesToAnExchangePastItsGrace() {
     bed.open();
     bed.to(8500).feed(event(2, "s1", "terminating"));
-    bed.clock.run(251);
+    bed.clock.advance(251);
     bed.caller().feed(Bed.setUp(7));
     assertEquals(List.of(), bed.to(2).news());
   }
@@ -150,23 +150,23 @@
     bed.to(2).feed(Bed.ready(6, "stands"));
     bed.front.terminate();
     caller.feed(test());
-    bed.clock.run(1_400);
+    bed.clock.advance(1_400);
     bed.to(2).feed(Bed.status(20));
-    bed.clock.run(500);
+    bed.clock.advance(500);
     caller.feed(Bed.setUp(7));
     bed.to(2).feed(Bed.ready(7, "answer"));
     caller.feed(Bed.setUp(8));
     assertEquals(List.of("9 6stands", "53 0 cause 0", "9 7answer"), caller.news());
-    bed.clock.run(300);
+    bed.clock.advance(300);
     caller.feed(Bed.setUp(9));
     assertEquals(List.of("12 9 cause 42"), caller.news());
     bed.to(2).feed(Bed.close(7, 16, ""));
-    bed.clock.run(950);
+    bed.clock.advance(950);
     assertEquals(List.of("12 7 cause 16", "12 8 cause 34 wait 250"), caller.news());
     assertFalse(bed.front.ended());
-    bed.clock.run(100);
+    bed.clock.advance(100);
     assertTrue(bed.front.ended());
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   private Bed withLongestDeadline(int longest) {
@@ -189,7 +189,7 @@
     at.feed(Bed.setUp(2, CallerMessage.LEFT, Integer.toString(longest)));
     int id = 2;
     while (!bed.front.ended() && bed.clock.now() - word < kill) {
-      bed.clock.run(50);
+      bed.clock.advance(50);
       if (!at.ended) {
         at.feed(
             Bed.setUp(++id, CallerMessage.LEFT, Integer.toString(longest), 21, "dest:1;transit:1"));
@@ -216,9 +216,9 @@
             .open();
     Bed.FakeWire caller = bed.caller();
     bed.front.terminate();
-    bed.clock.run(1_800);
+    bed.clock.advance(1_800);
     caller.feed(Bed.setUp(7));
-    bed.clock.run(1_300);
+    bed.clock.advance(1_300);
     assertEquals(List.of("12 7 cause " + cause), caller.news());
   }
 
--- a/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
@@ -84,7 +84,7 @@
     for (int minute = 0; minute < MINUTES; minute++) {
       for (int i = 0; i < 60 * 20; i++) {
         call();
-        bed.clock.run(50);
+        bed.clock.advance(50);
         if (i % 20 == 0) {
           bed.to(8500).feed(Integer.toString(pos - 1));
           bed.to(3).feed(Bed.status(20));
@@ -94,13 +94,13 @@
           pos += 2;
         }
       }
-      timers[minute] = bed.clock.waiting();
+      timers[minute] = bed.clock.scheduledTasks();
     }
     assertTrue(answered > next / 2, answered + " of " + next);
-    assertTrue(bed.front.controller().held() < 300, bed.front.state());
+    assertTrue(bed.front.controller().callCount() < 300, bed.front.state());
     assertTrue(timers[MINUTES - 1] < 2 * timers[1] + 100, List.of(timers[1], timers[4]).toString());
     due.forEach(Runnable::run);
-    bed.clock.run(10_000);
-    assertEquals(0, bed.front.controller().unanswered());
+    bed.clock.advance(10_000);
+    assertEquals(0, bed.front.controller().pendingCallCount());
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -186,7 +186,7 @@
         settings,
         rules,
         tampering.guard().get(),
-        CallController.Journal.NONE,
+        CallController.Observer.NONE,
         tampering.maker(rules, own),
         lives == null ? null : lives.keeping(controllerName(rules.localExchange()), host));
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
@@ -1,7 +1,7 @@
 package coveladder.rehearsal;
 
 import coveladder.core.recovery.CallStore;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.sip.SipHost;
 import coveladder.sipfront.SipFront;
 import coveladder.standin.CallPlan;
@@ -21,7 +21,7 @@
   private static final double MOST_SYNC = 4;
 
   private final SimWorld world;
-  private final RecoveryPace.Budget budget;
+  private final RecoveryRate.Budget budget;
   private final SplittableRandom random;
   private final UnaryOperator<CallStore> between;
   private final Map<String, SimDisk> disks = new HashMap<>();
@@ -36,12 +36,12 @@
   private Fleet fleet;
 
   /** Makes the lives of a fleet that is yet to be built. */
-  public Lives(SimWorld world, RecoveryPace.Budget budget, long seed) {
+  public Lives(SimWorld world, RecoveryRate.Budget budget, long seed) {
     this(world, budget, seed, UnaryOperator.identity());
   }
 
   /** The same with something between controllers and their disks, such as a mutation. */
-  Lives(SimWorld world, RecoveryPace.Budget budget, long seed, UnaryOperator<CallStore> between) {
+  Lives(SimWorld world, RecoveryRate.Budget budget, long seed, UnaryOperator<CallStore> between) {
     this.between = between;
     this.world = world;
     this.budget = budget;
--- a/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
@@ -1,6 +1,6 @@
 package coveladder.rehearsal;
 
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -16,7 +16,7 @@
  * each, or one day with a kill at each boundary.
  */
 public final class SeedSweep {
-  private static final RecoveryPace.Budget BUDGET = new RecoveryPace.Budget(200, 300);
+  private static final RecoveryRate.Budget BUDGET = new RecoveryRate.Budget(200, 300);
 
   private final LongFunction<Rehearsal.Result> player;
   private final List<Failing> failing = Collections.synchronizedList(new ArrayList<>());
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimDisk.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimDisk.java
@@ -144,19 +144,19 @@
   }
 
   @Override
-  public Found found() {
+  public Contents initialContents() {
     life++;
-    return new Found(new ArrayList<>(safe.values()), torn, behind, life);
+    return new Contents(new ArrayList<>(safe.values()), torn, behind, life);
   }
 
   @Override
-  public void caughtUp() {
+  public void markUpToDate() {
     catching = true;
     sync(well -> {});
   }
 
   @Override
-  public void begunAnew(Runnable all) {
+  public void onRecreated(Runnable all) {
     putAll = all;
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
@@ -2,8 +2,8 @@
 
 import coveladder.CallPolicy.ExchangeState;
 import coveladder.core.CallController;
-import coveladder.core.ExchangeList;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.ExchangeDirectory;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.sip.Hop;
 import coveladder.sip.SipHost;
 import coveladder.sip.SipStack;
@@ -66,10 +66,10 @@
         settings,
         plan.rules(0),
         Tampering.NONE.guard().get(),
-        CallController.Journal.NONE,
+        CallController.Observer.NONE,
         Tampering.NONE.maker(plan.rules(0), 3),
         keeps
-            ? new SipFront.Keeping(disk, new RecoveryPace.Budget(1_000, 100), () -> clock())
+            ? new SipFront.Keeping(disk, new RecoveryRate.Budget(1_000, 100), () -> clock())
             : null);
   }
 
@@ -88,15 +88,16 @@
   }
 
   private void tellList() {
-    List<ExchangeList.Entry> entries = new ArrayList<>();
+    List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String domain = "x" + i + ".example";
       String address = "sip:10.9.9." + i + ":5060";
-      entries.add(new ExchangeList.Entry("e" + i, i, domain, address, ExchangeState.IN_SERVICE, 0));
+      entries.add(
+          new ExchangeDirectory.Entry("e" + i, i, domain, address, ExchangeState.IN_SERVICE, 0));
     }
-    front.controller().listNews(new ExchangeList.News(true, 0, 1, entries));
+    front.controller().updateDirectory(new ExchangeDirectory.Update(true, 0, 1, entries));
     for (int i = 1; i < 4; i++) {
-      front.controller().circuits(i, 20, 20, 1);
+      front.controller().circuitsReported(i, 20, 20, 1);
     }
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -26,7 +26,7 @@
     bed.caller.send(bed.place, invite);
     bed.run(200);
     assertEquals(attempts, bed.attempts().size());
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   @Test
@@ -56,7 +56,7 @@
     bed.run(1_000);
     assertEquals(1, bed.attempts().size());
     assertEquals(List.of("200"), bed.finals());
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   @Test
@@ -98,11 +98,11 @@
     tcp.stand(tcp.attempts().get(0), "c1");
     tcp.world.resetConnections("switch");
     tcp.run(500);
-    assertEquals(1, tcp.front.controller().held());
+    assertEquals(1, tcp.front.controller().callCount());
     tcp.fromCaller("BYE", "c1", 2, tcp.callerTag());
     tcp.run(50);
     assertEquals(1, tcp.ownSwitch.all("BYE").size());
-    assertEquals(0, tcp.front.controller().held());
+    assertEquals(0, tcp.front.controller().callCount());
   }
 
   @Test
@@ -122,7 +122,7 @@
     bed.run(50);
     assertEquals(1, bed.ownSwitch.all("ACK").size());
     assertEquals(List.of("487"), bed.finals());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -138,7 +138,7 @@
     bed.run(100);
     assertEquals(1, bed.ownSwitch.all("BYE").size());
     assertEquals(1, bed.finals().size());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -151,7 +151,7 @@
     bed.run(50);
     assertEquals(1, bed.ownSwitch.all("BYE").size());
     assertTrue(bed.ownSwitch.last("BYE").field("To").endsWith("tag=other"));
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   @Test
@@ -245,9 +245,9 @@
     assertEquals(1, bed.finals().size());
     assertEquals(1, bed.attempts().size());
     bed.run(31_000);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.run(3_000);
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
     assertEquals(1, bed.attempts().size());
   }
 
@@ -298,7 +298,7 @@
 
   @Test
   void aCallTurnedBackByATandemTriesNoMoreThanTheModuleSays() {
-    bed.front.controller().circuits(1, 0, 20, 2);
+    bed.front.controller().circuitsReported(1, 0, 20, 2);
     bed.invite("c1", 4);
     for (int i = 0; i < 8; i++) {
       bed.run(20);
@@ -339,9 +339,9 @@
     bed.run(10);
     bed.fromCaller("ACK", "c1", 1, bed.callerTag());
     bed.run(89_000);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.run(2_000);
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
     assertEquals(1, bed.ownSwitch.all("BYE").stream().map(r -> r.field("CSeq")).distinct().count());
     assertTrue(bed.caller.all("BYE").size() >= 1);
   }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import coveladder.core.recovery.CallStore;
-import coveladder.core.recovery.RecoveryPace;
+import coveladder.core.recovery.RecoveryRate;
 import coveladder.core.recovery.SavedCall;
 import coveladder.core.recovery.SavedCall.Phase;
 import java.util.List;
@@ -20,7 +20,7 @@
 /** Controllers that are killed in virtual time; all boundaries and thousands of seeds: the kit. */
 class RestartSweepTest {
   private static final int THREADS = Runtime.getRuntime().availableProcessors();
-  private static final RecoveryPace.Budget BUDGET = new RecoveryPace.Budget(200, 300);
+  private static final RecoveryRate.Budget BUDGET = new RecoveryRate.Budget(200, 300);
 
   @Test
   void fiftySeedsWithKillsAndFailingDisksKeepAllRules() throws InterruptedException {
@@ -102,18 +102,18 @@
     }
 
     @Override
-    public Found found() {
-      return inner.found();
+    public Contents initialContents() {
+      return inner.initialContents();
     }
 
     @Override
-    public void caughtUp() {
-      inner.caughtUp();
+    public void markUpToDate() {
+      inner.markUpToDate();
     }
 
     @Override
-    public void begunAnew(Runnable putAll) {
-      inner.begunAnew(putAll);
+    public void onRecreated(Runnable putAll) {
+      inner.onRecreated(putAll);
     }
   }
 
@@ -172,9 +172,10 @@
                 disk ->
                     new Between(disk) {
                       @Override
-                      public Found found() {
-                        Found found = inner.found();
-                        return new Found(found.calls(), found.damaged(), false, found.life());
+                      public Contents initialContents() {
+                        Contents found = inner.initialContents();
+                        return new Contents(
+                            found.calls(), found.damagedRecords(), false, found.incarnation());
                       }
                     })
             > 0);
@@ -187,9 +188,10 @@
                 disk ->
                     new Between(disk) {
                       @Override
-                      public Found found() {
-                        Found found = inner.found();
-                        return new Found(found.calls(), found.damaged(), found.behind(), 1);
+                      public Contents initialContents() {
+                        Contents found = inner.initialContents();
+                        return new Contents(
+                            found.calls(), found.damagedRecords(), found.outOfDate(), 1);
                       }
                     })
             > 0);
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -25,12 +25,12 @@
     standing();
     String tag = bed.callerTag();
     bed.restart(300);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.fromCaller("BYE", "c1", 2, tag);
     bed.run(50);
     assertEquals(1, bed.ownSwitch.all("BYE").size());
     assertTrue(bed.ownSwitch.last("BYE").field("To").endsWith("tag=far"));
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
     assertEquals(List.of("200"), bed.finals());
   }
 
@@ -50,7 +50,7 @@
             + "\r\nCSeq: 1 BYE\r\n\r\n");
     bed.run(50);
     assertEquals(1, bed.caller.all("BYE").size());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -75,7 +75,7 @@
     bed.ownSwitch.answer(attempt, "100 Trying", "", "");
     bed.run(5);
     bed.restart(100);
-    assertEquals(1, bed.front.recovery().found(Phase.SETTING_UP));
+    assertEquals(1, bed.front.recovery().recoveredIn(Phase.SETTING_UP));
     bed.caller.send(bed.place, invite);
     bed.run(50);
     assertEquals(List.of("503"), bed.finals());
@@ -84,9 +84,9 @@
     bed.ownSwitch.answer(cancel, "200 OK", "", "");
     bed.ownSwitch.answer(attempt, "487 Over", "t", "");
     bed.run(50);
-    assertTrue(bed.front.recovery().done());
+    assertTrue(bed.front.recovery().isComplete());
     assertEquals(1, bed.attempts().size());
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   @Test
@@ -131,7 +131,7 @@
     bed.run(50);
     bed.stand(bed.attempts().get(1), "c2");
     assertEquals(List.of("503", "200"), bed.finals());
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   @Test
@@ -154,9 +154,9 @@
     bed.world.reachable("switch", false);
     bed.restart(300);
     bed.run(60_000);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.run(80_000);
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
     assertTrue(!bed.caller.all("BYE").isEmpty());
   }
 
@@ -172,9 +172,9 @@
     bed.restart(300);
     RawNode.Read asked = answerAll("OPTIONS", 85_000);
     assertTrue(asked != null);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.run(10_000);
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
   }
 
   /** Both ends say that they hold the call; the last request that was answered. */
@@ -200,7 +200,7 @@
     assertEquals(List.of("200"), bed.finals());
     bed.fromCaller("ACK", "c1", 1, bed.callerTag());
     bed.run(20_000);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
   }
 
   @Test
@@ -210,7 +210,7 @@
     bed.restart(100);
     bed.run(100);
     assertEquals(0, bed.attempts().size());
-    assertEquals(0, bed.front.recovery().found(Phase.SETTING_UP));
+    assertEquals(0, bed.front.recovery().recoveredIn(Phase.SETTING_UP));
     assertEquals(List.of(), bed.finals());
   }
 
@@ -235,7 +235,7 @@
     assertTrue(asked.field("To").endsWith("tag=far"));
     bed.ownSwitch.answer(asked, "481 Gone", "", "");
     bed.run(50);
-    assertEquals(0, bed.front.controller().held());
+    assertEquals(0, bed.front.controller().callCount());
     assertEquals(1, bed.caller.all("BYE").size());
   }
 
@@ -246,7 +246,7 @@
     bed.restart(50);
     bed.restart(50);
     bed.restart(50);
-    assertEquals(1, bed.front.controller().held());
+    assertEquals(1, bed.front.controller().callCount());
     bed.fromCaller("BYE", "c1", 2, tag);
     bed.run(50);
     assertEquals(1, bed.ownSwitch.all("BYE").size());
--- a/serve/src/main/java/coveladder/serve/LoopClock.java
+++ b/serve/src/main/java/coveladder/serve/LoopClock.java
@@ -1,13 +1,13 @@
 package coveladder.serve;
 
-import coveladder.core.Clockwork;
+import coveladder.core.Scheduler;
 import coveladder.net.EventLoop;
 
 /**
  * Gives the core the clock and timers of the event loop. The clock is in Unix milliseconds and
  * never steps back.
  */
-final class LoopClock implements Clockwork {
+final class LoopClock implements Scheduler {
   private final EventLoop loop;
 
   LoopClock(EventLoop loop) {
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public Stop after(double delayMillis, Runnable task) {
+  public Timer schedule(double delayMillis, Runnable task) {
     return loop.after(delayMillis, task)::cancel;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -2,7 +2,7 @@
 
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.FinalAnswer;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
@@ -59,7 +59,7 @@
   // ---- Attempts -----------------------------------------------------------------------------
 
   /** Makes an attempt ready without sending it. */
-  void prepare(AttemptOrder order, SipRequest invite) {
+  void prepare(AttemptRequest order, SipRequest invite) {
     attempt = order.attempt();
     answer = null;
     launched = false;
@@ -139,7 +139,7 @@
     public void answered(CallLeg leg, SipResponse response) {
       answer = response;
       ackOwed = leg.invite().body().length == 0 && response.body().length > 0;
-      front.controller().attemptStands(id, number);
+      front.controller().attemptAnswered(id, number);
       if (leg.state() == CallLeg.State.ENDED) {
         over(new WireOutcome(Outcome.CANCELLED, Reason.NONE, 0));
       }
@@ -149,7 +149,7 @@
     public void rejected(CallLeg leg, SipResponse response) {
       if (WireOutcome.conclusive(response)) {
         answer = response;
-        front.controller().attemptConclusive(id, number);
+        front.controller().calleeRejected(id, number);
         front.tidy(id);
       } else {
         over(WireOutcome.of(response));
@@ -189,7 +189,7 @@
     private void over(WireOutcome outcome) {
       front
           .controller()
-          .attemptOver(id, number, outcome.outcome(), outcome.reason(), outcome.askedWait());
+          .attemptEnded(id, number, outcome.outcome(), outcome.reason(), outcome.askedWait());
       front.tidy(id);
     }
   }
@@ -206,7 +206,7 @@
             answer.run();
             front.tidy(id);
           });
-      front.controller().callerLeft(id);
+      front.controller().callerAbandoned(id);
       front.tidy(id);
     }
 
--- a/sipfront/src/main/java/coveladder/sipfront/FeedBodies.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FeedBodies.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import coveladder.CallPolicy.ExchangeState;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -41,9 +41,9 @@
    */
   record CircuitNews(String epoch, long version, List<Circuits> groups) {}
 
-  static ExchangeList.News list(String body, double now) throws BadBody {
+  static ExchangeDirectory.Update list(String body, double now) throws BadBody {
     JsonNode root = read(body);
-    List<ExchangeList.Entry> entries = new ArrayList<>();
+    List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     int at = 0;
     for (JsonNode node : array(root, "exchanges")) {
       entries.add(entry(node, "exchanges[" + at + "].", now));
@@ -51,12 +51,13 @@
     }
     boolean full = field(root, "", "full").asBoolean();
     long after = full ? 0 : whole(root, "", "after");
-    return new ExchangeList.News(full, after, whole(root, "", "version"), entries);
+    return new ExchangeDirectory.Update(full, after, whole(root, "", "version"), entries);
   }
 
-  private static ExchangeList.Entry entry(JsonNode node, String path, double now) throws BadBody {
+  private static ExchangeDirectory.Entry entry(JsonNode node, String path, double now)
+      throws BadBody {
     double age = node.path("age").isNumber() ? node.path("age").asDouble() : -1;
-    return new ExchangeList.Entry(
+    return new ExchangeDirectory.Entry(
         field(node, path, "id").asText(),
         (int) whole(node, path, "number"),
         field(node, path, "domain").asText(),
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -21,7 +21,7 @@
     if (answer.reason() == Reason.NUMBER_BUSY) {
       return caller.response(486);
     }
-    int seconds = (int) Math.ceil(answer.comeBack() / 1000);
+    int seconds = (int) Math.ceil(answer.retryAfterMillis() / 1000);
     if (transit || answer.kind() == FinalAnswer.Kind.REFUSED) {
       boolean full = answer.reason() == Reason.PROCESSOR_FULL;
       int cause = full ? ReasonField.CONGESTION : ReasonField.NO_CIRCUIT;
--- a/sipfront/src/main/java/coveladder/sipfront/HostClock.java
+++ b/sipfront/src/main/java/coveladder/sipfront/HostClock.java
@@ -1,10 +1,10 @@
 package coveladder.sipfront;
 
-import coveladder.core.Clockwork;
+import coveladder.core.Scheduler;
 import coveladder.sip.SipHost;
 
 /** The world's clock as the core wants it. */
-final class HostClock implements Clockwork {
+final class HostClock implements Scheduler {
   private final SipHost host;
 
   HostClock(SipHost host) {
@@ -17,7 +17,7 @@
   }
 
   @Override
-  public Stop after(double delay, Runnable task) {
+  public Timer schedule(double delay, Runnable task) {
     return host.schedule(delay, task)::cancel;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/KeepingJournal.java
+++ b/sipfront/src/main/java/coveladder/sipfront/KeepingJournal.java
@@ -2,23 +2,26 @@
 
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
 import coveladder.core.FinalAnswer;
-import coveladder.core.HeldCall;
-import coveladder.core.recovery.RecoveryPace;
-import coveladder.core.recovery.WriteAhead;
+import coveladder.core.Scheduler;
+import coveladder.core.TrackedCall;
+import coveladder.core.recovery.RecoveryRate;
+import coveladder.core.recovery.WriteAheadSignalling;
 
 /** Passes each step on, and lets what is kept of a call go with it. */
-final class KeepingJournal implements CallController.Journal {
-  private final CallController.Journal inner;
-  private final WriteAhead writeAhead;
-  private final RecoveryPace pace;
-  private final Clockwork clock;
+final class KeepingJournal implements CallController.Observer {
+  private final CallController.Observer inner;
+  private final WriteAheadSignalling writeAhead;
+  private final RecoveryRate pace;
+  private final Scheduler clock;
 
   KeepingJournal(
-      CallController.Journal inner, WriteAhead writeAhead, RecoveryPace pace, Clockwork clock) {
+      CallController.Observer inner,
+      WriteAheadSignalling writeAhead,
+      RecoveryRate pace,
+      Scheduler clock) {
     this.inner = inner;
     this.writeAhead = writeAhead;
     this.pace = pace;
@@ -26,36 +29,37 @@
   }
 
   @Override
-  public void taken(HeldCall call) {
-    inner.taken(call);
+  public void callAccepted(TrackedCall call) {
+    inner.callAccepted(call);
   }
 
   @Override
-  public void sent(HeldCall call, AttemptOrder order) {
-    inner.sent(call, order);
+  public void attemptSent(TrackedCall call, AttemptRequest order) {
+    inner.attemptSent(call, order);
   }
 
   @Override
-  public void over(HeldCall call, int attempt, Outcome outcome, Reason reason, double spent) {
-    inner.over(call, attempt, outcome, reason, spent);
+  public void attemptEnded(
+      TrackedCall call, int attempt, Outcome outcome, Reason reason, double spent) {
+    inner.attemptEnded(call, attempt, outcome, reason, spent);
     if (reason == Reason.PROCESSOR_FULL) {
-      pace.turnedAway(clock.now());
+      pace.rejectedByProcessor(clock.now());
     }
   }
 
   @Override
-  public void answered(HeldCall call, FinalAnswer answer, double after) {
-    inner.answered(call, answer, after);
+  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double after) {
+    inner.finalAnswerGiven(call, answer, after);
   }
 
   @Override
-  public void callerLeft(HeldCall call, double after) {
-    inner.callerLeft(call, after);
+  public void callerAbandoned(TrackedCall call, double after) {
+    inner.callerAbandoned(call, after);
   }
 
   @Override
-  public void ended(HeldCall call) {
-    inner.ended(call);
-    writeAhead.ended(call.call().id());
+  public void callRemoved(TrackedCall call) {
+    inner.callRemoved(call);
+    writeAhead.callRemoved(call.call().id());
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -2,9 +2,9 @@
 
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.FinalAnswer;
-import coveladder.core.recovery.Legs;
+import coveladder.core.recovery.CallLegs;
 import coveladder.core.recovery.SavedCall;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
@@ -21,7 +21,7 @@
 import java.util.function.LongSupplier;
 
 /** Legs of SIP calls as they are kept, and made again after a restart. */
-final class SavedLegs implements Legs {
+final class SavedLegs implements CallLegs {
   private static final byte[] NONE = {};
 
   private final SipFront front;
@@ -38,14 +38,14 @@
   }
 
   @Override
-  public long wallClock() {
+  public long wallClockMillis() {
     return wallClock.getAsLong();
   }
 
   // ---- As they are --------------------------------------------------------------------------
 
   @Override
-  public byte[] callerLeg(String call) {
+  public byte[] encodeCallerLeg(String call) {
     Bridge bridge = front.bridge(call);
     byte[] answer = bridge.prepared() == null ? NONE : bridge.prepared().toBytes();
     CallLeg leg = bridge.caller();
@@ -53,12 +53,12 @@
   }
 
   @Override
-  public byte[] prepareAttempt(AttemptOrder order) {
+  public byte[] prepareAttempt(AttemptRequest order) {
     return record(front.prepare(order).attemptLeg(), "", false, 0, NONE).write();
   }
 
   @Override
-  public byte[] attemptLeg(String call) {
+  public byte[] encodeAttemptLeg(String call) {
     Bridge bridge = front.bridge(call);
     SipResponse answer = bridge.received();
     long session = answer.numericHeader("Session-Expires", 0);
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public byte[] refreshed(String call, boolean ofCaller, byte[] before) {
+  public byte[] updateLeg(String call, boolean ofCaller, byte[] before) {
     Bridge bridge = front.bridge(call);
     CallLeg leg = ofCaller ? bridge.caller() : bridge.attemptLeg();
     boolean acknowledged = leg.state() == CallLeg.State.CONFIRMED;
@@ -88,19 +88,19 @@
   }
 
   @Override
-  public byte[] finalAnswer(String call, FinalAnswer answer) {
+  public byte[] encodeFinalAnswer(String call, FinalAnswer answer) {
     return front.bridge(call).prepare(answer).toBytes();
   }
 
   @Override
-  public boolean releasing(String call) {
+  public boolean isReleasing(String call) {
     Bridge bridge = front.bridge(call);
     return bridge != null && bridge.releasing();
   }
 
   @Override
-  public void prepareStands(String call) {
-    front.bridge(call).prepare(FinalAnswer.STANDS);
+  public void prepareSuccess(String call) {
+    front.bridge(call).prepare(FinalAnswer.ESTABLISHED);
   }
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -184,32 +184,35 @@
   }
 
   @Override
-  public void verify(String call, boolean ofCaller, Consumer<Held> told) {
+  public void verify(String call, boolean ofCaller, Consumer<LegStatus> told) {
     Bridge bridge = front.bridge(call);
     CallLeg leg = ofCaller ? bridge.caller() : bridge.attemptLeg();
     if (!leg.send("OPTIONS", null, new HeldAnswers(told))) {
-      told.accept(Held.GONE);
+      told.accept(LegStatus.GONE);
     }
   }
 
   /** Reads from the answer to an OPTIONS within a dialog whether the other side holds it. */
-  private record HeldAnswers(Consumer<Held> told) implements ClientTransaction.Listener {
+  private record HeldAnswers(Consumer<LegStatus> told) implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
       if (!response.isProvisional()) {
         boolean unsure = response.status() == 408 || response.status() >= 500;
-        told.accept(response.status() == 481 ? Held.GONE : unsure ? Held.UNSURE : Held.YES);
+        told.accept(
+            response.status() == 481
+                ? LegStatus.GONE
+                : unsure ? LegStatus.UNKNOWN : LegStatus.ACTIVE);
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      told.accept(Held.UNSURE);
+      told.accept(LegStatus.UNKNOWN);
     }
   }
 
   @Override
-  public void letGo(String call, boolean ofCaller) {
+  public void releaseLost(String call, boolean ofCaller) {
     Bridge bridge = front.bridge(call);
     if (bridge == null) {
       return;
@@ -219,19 +222,19 @@
       bridge.caller().bye(null);
     } else {
       bridge.attemptLeg().bye(null);
-      front.controller().attemptOver(call, bridge.attempt(), Outcome.RESET, Reason.NONE, 0);
+      front.controller().attemptEnded(call, bridge.attempt(), Outcome.RESET, Reason.NONE, 0);
     }
     front.tidy(call);
   }
 
   @Override
-  public void callOff(SavedCall saved, Runnable over) {
+  public void cancelAfterRestart(SavedCall saved, Runnable over) {
     LegRecord to = LegRecord.read(saved.attemptLeg());
     front.agent().cancelAfterRestart(to.request(), to.hop(), over);
   }
 
   @Override
-  public void expectCaller(
+  public void restoreCallerLeg(
       SavedCall saved, Consumer<Runnable> whenCalledOff, Runnable whenRepeated) {
     LegRecord from = LegRecord.read(saved.callerLeg());
     CallListener waits =
@@ -264,13 +267,13 @@
   }
 
   @Override
-  public byte[] cutShortAnswer(SavedCall saved, FinalAnswer answer) {
+  public byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer) {
     CallLeg leg = expected.get(saved.id());
     return FinalResponses.of(leg, answer, saved.call().transit(), front.settings()).toBytes();
   }
 
   @Override
-  public void answerCalledOff(SavedCall saved) {
+  public void answerCancelled(SavedCall saved) {
     CallLeg leg = expected.remove(saved.id());
     if (leg != null) {
       leg.reject(leg.response(487));
@@ -278,7 +281,7 @@
   }
 
   @Override
-  public void answerAgain(SavedCall saved) {
+  public void resendFinalAnswer(SavedCall saved) {
     LegRecord answer =
         new LegRecord(front.ownSwitch(), "", "", "", false, null, 0, NONE, saved.answer());
     CallLeg leg = expected.remove(saved.id());
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -3,17 +3,17 @@
 import coveladder.CallPolicy;
 import coveladder.CallPolicy.Call;
 import coveladder.core.AttemptGuard;
-import coveladder.core.AttemptOrder;
+import coveladder.core.AttemptRequest;
 import coveladder.core.CallController;
-import coveladder.core.Clockwork;
-import coveladder.core.ExchangeList;
+import coveladder.core.ExchangeDirectory;
 import coveladder.core.FinalAnswer;
 import coveladder.core.LoadReports;
+import coveladder.core.Scheduler;
 import coveladder.core.Signalling;
 import coveladder.core.recovery.CallStore;
 import coveladder.core.recovery.Recovery;
-import coveladder.core.recovery.RecoveryPace;
-import coveladder.core.recovery.WriteAhead;
+import coveladder.core.recovery.RecoveryRate;
+import coveladder.core.recovery.WriteAheadSignalling;
 import coveladder.sip.CallLeg;
 import coveladder.sip.CallListener;
 import coveladder.sip.ClientTransaction;
@@ -54,14 +54,14 @@
   private FrontSettings settings;
   private final SipStack stack;
   private final CallController controller;
-  private final Clockwork clock;
+  private final Scheduler clock;
   private final Map<String, Bridge> bridges = new HashMap<>();
   private final Subscriber list;
   private final Subscriber circuits;
   private String circuitEpoch = "";
   private final String base;
   private SavedLegs legs;
-  private WriteAhead writeAhead;
+  private WriteAheadSignalling writeAhead;
   private Recovery recovery;
   private long sequence;
   private String badFeed = "";
@@ -77,7 +77,7 @@
       FrontSettings settings,
       CallPolicy.Settings rules,
       AttemptGuard guard,
-      CallController.Journal journal,
+      CallController.Observer journal,
       Function<CallPolicy.Actions, CallPolicy> policies) {
     this(host, settings, rules, guard, journal, policies, null);
   }
@@ -93,7 +93,7 @@
       FrontSettings settings,
       CallPolicy.Settings rules,
       AttemptGuard guard,
-      CallController.Journal journal,
+      CallController.Observer journal,
       Function<CallPolicy.Actions, CallPolicy> policies,
       Keeping keeping) {
     this.host = host;
@@ -106,11 +106,11 @@
     } else {
       this.legs = new SavedLegs(this, keeping.clock());
       double life = settings.timing().transactionTimeout();
-      this.writeAhead = new WriteAhead(this, legs, keeping.store(), life);
-      RecoveryPace pace = new RecoveryPace(keeping.budget(), rules.coldShare(), rules.rampTime());
-      CallController.Journal both = new KeepingJournal(journal, writeAhead, pace, clock);
+      this.writeAhead = new WriteAheadSignalling(this, legs, keeping.store(), life);
+      RecoveryRate pace = new RecoveryRate(keeping.budget(), rules.coldShare(), rules.rampTime());
+      CallController.Observer both = new KeepingJournal(journal, writeAhead, pace, clock);
       this.controller = new CallController(rules, writeAhead, guard, both, policies);
-      writeAhead.controller(controller);
+      writeAhead.setController(controller);
       this.recovery =
           new Recovery(controller, writeAhead, keeping.store(), legs, clock, pace, life);
     }
@@ -126,10 +126,10 @@
    * @param budget what recovery may send
    * @param clock ms by a clock that goes on across restarts
    */
-  public record Keeping(CallStore store, RecoveryPace.Budget budget, LongSupplier clock) {}
+  public record Keeping(CallStore store, RecoveryRate.Budget budget, LongSupplier clock) {}
 
   /** What sees that calls are kept; null where they are not. */
-  public WriteAhead writeAhead() {
+  public WriteAheadSignalling writeAhead() {
     return writeAhead;
   }
 
@@ -151,14 +151,14 @@
   /** Something of a call that stands has changed. */
   void changed(String call) {
     if (writeAhead != null && bridges.containsKey(call)) {
-      writeAhead.changed(call);
+      writeAhead.callChanged(call);
     }
   }
 
   /** A BYE of a call is settled; with the last of them nothing of it is left at any end. */
   void released(String call, Bridge bridge) {
     if (writeAhead != null && !bridge.releasing()) {
-      writeAhead.released(call);
+      writeAhead.releaseCompleted(call);
     }
   }
 
@@ -167,7 +167,7 @@
     if (writeAhead == null) {
       answer.run();
     } else {
-      writeAhead.callerLeaves(call, answer);
+      writeAhead.callerCancelled(call, answer);
     }
   }
 
@@ -181,7 +181,7 @@
   @Override
   public void start() {
     if (recovery != null) {
-      recovery.begin();
+      recovery.start();
     }
     controller.start();
     circuits.subscribe();
@@ -271,9 +271,9 @@
   @Override
   public CallListener incoming(CallLeg leg) {
     SipUri uri = SipUri.parse(leg.invite().uri());
-    int destination = controller.list().numberOf(uri.host());
+    int destination = controller.directory().numberOfDomain(uri.host());
     boolean full = bridges() >= settings.maxCalls();
-    if (full || controller.list().version() < 0 || mayBeOld(leg)) {
+    if (full || controller.directory().version() < 0 || mayBeOld(leg)) {
       int wait = settings.retryAfter();
       leg.reject(FinalResponses.unavailable(leg, ReasonField.CONGESTION, false, wait));
       return null;
@@ -300,7 +300,9 @@
    * TCP is new, as all connections were made since.
    */
   private boolean mayBeOld(CallLeg leg) {
-    return recovery != null && recovery.unsure() && leg.hop().transport() == Transport.UDP;
+    return recovery != null
+        && recovery.mayMissPendingCalls()
+        && leg.hop().transport() == Transport.UDP;
   }
 
   @Override
@@ -318,7 +320,7 @@
             patience(leg),
             controller.settings().classes().get(type).width(),
             uri.user(),
-            controller.list().numberOf(uri.host()),
+            controller.directory().numberOfDomain(uri.host()),
             isFromOwnSwitch(leg),
             ReasonField.saysSip(invite),
             cause == ReasonField.TEMPORARY_FAILURE);
@@ -353,12 +355,12 @@
   // ---- What the core orders -----------------------------------------------------------------
 
   @Override
-  public Clockwork clockwork() {
+  public Scheduler scheduler() {
     return clock;
   }
 
   @Override
-  public void startAttempt(AttemptOrder order) {
+  public void startAttempt(AttemptRequest order) {
     Bridge bridge = bridge(order.call());
     if (!bridge.ready(order.attempt())) {
       prepare(order);
@@ -367,13 +369,13 @@
   }
 
   /** Makes an attempt ready without sending it. */
-  Bridge prepare(AttemptOrder order) {
+  Bridge prepare(AttemptRequest order) {
     Bridge bridge = bridge(order.call());
     bridge.prepare(order, attemptInvite(order, bridge.caller().invite()));
     return bridge;
   }
 
-  private SipRequest attemptInvite(AttemptOrder order, SipRequest came) {
+  private SipRequest attemptInvite(AttemptRequest order, SipRequest came) {
     String domain =
         order.destination() == null
             ? SipUri.parse(came.uri()).host()
@@ -383,12 +385,12 @@
     Hop own = settings.ownSwitch();
     invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
     invite.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
-    if (order.alternative()) {
-      invite.add("Route", '<' + order.first().address() + ";lr>");
+    if (order.viaTandem()) {
+      invite.add("Route", '<' + order.nextExchange().address() + ";lr>");
     }
     invite.add("From", '<' + NameAddr.parse(came.header("From")).uri() + '>');
     invite.add("To", '<' + uri + '>');
-    int seconds = (int) Math.max(1, Math.ceil(order.within() / 1000));
+    int seconds = (int) Math.max(1, Math.ceil(order.timeoutMillis() / 1000));
     invite.add("Expires", Integer.toString(seconds));
     EndToEndHeaders.copy(came, invite);
     addHistory(order, came, invite);
@@ -396,12 +398,12 @@
   }
 
   /** Tells the way taken, where the caller wants to know it (RFC 7044). */
-  private static void addHistory(AttemptOrder order, SipRequest came, SipRequest invite) {
+  private static void addHistory(AttemptRequest order, SipRequest came, SipRequest invite) {
     List<String> history = came.headers("History-Info");
     if (!history.isEmpty()) {
       String last = history.get(history.size() - 1);
       String index = Params.parse(last.substring(last.indexOf('>') + 1)).get("index");
-      String to = "<sip:" + order.number() + '@' + order.first().domain() + '>';
+      String to = "<sip:" + order.number() + '@' + order.nextExchange().domain() + '>';
       invite.add("History-Info", to + ";index=" + index + '.' + (order.attempt() + 1));
     }
   }
@@ -431,7 +433,7 @@
   }
 
   @Override
-  public void probe(ExchangeList.Entry exchange, double askedAt) {
+  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
     SipRequest options = request("OPTIONS", exchange.address());
     options.add("Accept", "application/json");
     Hop hop = SipUri.parse(exchange.address()).hop();
@@ -460,21 +462,21 @@
       if (!response.isProvisional()) {
         LoadReports.Report report = OverloadReport.of(response, host.now());
         if (report != null) {
-          controller.loadReport(exchange, report);
+          controller.overloadReported(exchange, report);
         }
-        controller.probed(exchange, response.isSuccess(), askedAt);
+        controller.probeCompleted(exchange, response.isSuccess(), askedAt);
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      controller.probed(exchange, false, askedAt);
+      controller.probeCompleted(exchange, false, askedAt);
     }
   }
 
   @Override
-  public void tell(byte[] payload) {
-    for (ExchangeList.Entry entry : controller.list().entries()) {
+  public void broadcast(byte[] payload) {
+    for (ExchangeDirectory.Entry entry : controller.directory().entries()) {
       if (entry.number() != controller.settings().localExchange()) {
         SipRequest message = request("MESSAGE", "sip:controller@" + entry.domain());
         Hop own = settings.ownSwitch();
@@ -490,7 +492,7 @@
   }
 
   @Override
-  public void subscribeList() {
+  public void subscribeToDirectory() {
     list.subscribe();
   }
 
@@ -524,16 +526,17 @@
     boolean known = from != null && from.user().matches("[0-9]{1,9}");
     transaction.respond(request.response(known ? 200 : 403));
     if (known) {
-      controller.peer(Integer.parseInt(from.user()), request.body());
+      controller.peerMessageReceived(Integer.parseInt(from.user()), request.body());
     }
   }
 
   /** Load figures of the own switch ride on each of its answers. */
   void learnLoad(SipResponse response) {
     LoadReports.Report report = OverloadReport.of(response, host.now());
-    ExchangeList.Entry own = controller.list().byNumber(controller.settings().localExchange());
+    ExchangeDirectory.Entry own =
+        controller.directory().byNumber(controller.settings().localExchange());
     if (report != null && own != null) {
-      controller.loadReport(own.id(), report);
+      controller.overloadReported(own.id(), report);
     }
   }
 
@@ -542,7 +545,7 @@
     @Override
     public void notified(SipRequest notify) {
       try {
-        if (controller.listNews(FeedBodies.list(notify.bodyText(), host.now()))) {
+        if (controller.updateDirectory(FeedBodies.list(notify.bodyText(), host.now()))) {
           list.subscribe();
         }
       } catch (FeedBodies.BadBody e) {
@@ -552,7 +555,7 @@
 
     @Override
     public void lost(String why) {
-      controller.listFailed();
+      controller.directoryUnavailable();
     }
   }
 
@@ -564,10 +567,10 @@
         FeedBodies.CircuitNews news = FeedBodies.circuits(notify.bodyText());
         if (!news.epoch().equals(circuitEpoch)) {
           circuitEpoch = news.epoch();
-          controller.groups().clear();
+          controller.circuitGroups().clear();
         }
         for (FeedBodies.Circuits group : news.groups()) {
-          controller.circuits(group.toward(), group.free(), group.size(), news.version());
+          controller.circuitsReported(group.toward(), group.free(), group.size(), news.version());
         }
       } catch (FeedBodies.BadBody e) {
         badFeed = CIRCUIT_EVENT + ": " + e.getMessage();
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -42,7 +42,7 @@
   private final Executor callbackExecutor;
   private final long retryIntervalMillis;
   private final int retentionMillis;
-  private final Found found;
+  private final Contents found;
   private final BlockingQueue<WriteRequest> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
   private final Thread writer = new Thread(this::runWriter, "store");
   private final FileChannel lock;
@@ -123,7 +123,7 @@
     if (!behind) {
       folder.markInStep();
     }
-    this.found = new Found(List.copyOf(calls), List.copyOf(damaged), behind, openCount);
+    this.found = new Contents(List.copyOf(calls), List.copyOf(damaged), behind, openCount);
     writer.setDaemon(true);
     writer.start();
   }
@@ -150,17 +150,17 @@
   }
 
   @Override
-  public Found found() {
+  public Contents initialContents() {
     return found;
   }
 
   @Override
-  public void begunAnew(Runnable putAll) {
+  public void onRecreated(Runnable putAll) {
     rewriteAllCalls = putAll;
   }
 
   @Override
-  public void caughtUp() {
+  public void markUpToDate() {
     enqueue(new WriteRequest(null, null, null, CAUGHT_UP));
   }
 
@@ -311,7 +311,7 @@
     try {
       Files.deleteIfExists(folder.newCallFile());
       callFile = openCallFile(folder.newCallFile());
-      callFile.setOpenCount(found.life());
+      callFile.setOpenCount(found.incarnation());
       rewriting = true;
       rewriteAttempts++;
       int attempt = rewriteAttempts;
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -66,16 +66,16 @@
       FaultInjectingFilePath.injectedFault = "";
     }
     try (DiskStore store = open()) {
-      assertTrue(store.found().behind());
-      assertEquals(2, store.found().life());
+      assertTrue(store.initialContents().outOfDate());
+      assertEquals(2, store.initialContents().incarnation());
     }
     try (DiskStore store = open()) {
-      assertTrue(store.found().behind());
-      store.caughtUp();
-      assertTrue(store.found().calls().contains(savedCall("a", Phase.STANDS, "leg")));
+      assertTrue(store.initialContents().outOfDate());
+      store.markUpToDate();
+      assertTrue(store.initialContents().calls().contains(savedCall("a", Phase.STANDS, "leg")));
     }
     try (DiskStore store = open()) {
-      assertFalse(store.found().behind());
+      assertFalse(store.initialContents().outOfDate());
     }
   }
 
@@ -85,7 +85,7 @@
   void recoveredDiskReceivesAllCallsAgain(String fault) throws Exception {
     SavedCall lateCall = savedCall("late", Phase.STANDS, "leg");
     try (DiskStore store = openWithFaultInjection()) {
-      store.begunAnew(() -> store.put(lateCall));
+      store.onRecreated(() -> store.put(lateCall));
       store.put(savedCall("a", Phase.STANDS, "leg"));
       assertTrue(sync(store));
       FaultInjectingFilePath.injectedFault = fault;
@@ -101,8 +101,8 @@
       FaultInjectingFilePath.injectedFault = "";
     }
     try (DiskStore store = open()) {
-      assertFalse(store.found().behind());
-      assertEquals(List.of(lateCall), store.found().calls());
+      assertFalse(store.initialContents().outOfDate());
+      assertEquals(List.of(lateCall), store.initialContents().calls());
     }
   }
 
@@ -174,14 +174,14 @@
       store.put(savedCall("c", Phase.ANSWERED, "four"));
       store.remove("c");
       assertTrue(sync(store));
-      assertFalse(store.found().behind(), "a new folder is not behind");
+      assertFalse(store.initialContents().outOfDate(), "a new folder is not behind");
     }
     try (DiskStore store = open()) {
-      assertFalse(store.found().behind());
+      assertFalse(store.initialContents().outOfDate());
       assertEquals(
           List.of(savedCall("a", Phase.STANDS, "three"), savedCall("b", Phase.STANDS, "two")),
-          store.found().calls());
-      assertEquals(List.of(), store.found().damaged());
+          store.initialContents().calls());
+      assertEquals(List.of(), store.initialContents().damagedRecords());
     }
   }
 
@@ -221,14 +221,14 @@
       rawStore.<String, byte[]>openMap("calls").put("n", newerWithChecksum);
     }
     try (DiskStore store = open()) {
-      assertEquals(List.of(savedCall("a", Phase.STANDS, "leg")), store.found().calls());
-      assertEquals(2, store.found().damaged().size());
-      assertTrue(store.found().damaged().get(0).contains("version 99"));
-      assertTrue(store.found().damaged().get(1).contains("check does not fit"));
+      assertEquals(List.of(savedCall("a", Phase.STANDS, "leg")), store.initialContents().calls());
+      assertEquals(2, store.initialContents().damagedRecords().size());
+      assertTrue(store.initialContents().damagedRecords().get(0).contains("version 99"));
+      assertTrue(store.initialContents().damagedRecords().get(1).contains("check does not fit"));
     }
     assertEquals(2, Files.readAllLines(folder.resolve("set-aside.txt")).size());
     try (DiskStore store = open()) {
-      assertEquals(List.of(), store.found().damaged());
+      assertEquals(List.of(), store.initialContents().damagedRecords());
     }
   }
 
@@ -291,7 +291,7 @@
     Files.write(truncatedFolder.resolve("calls.mv"), truncated);
     Map<String, SavedCall> found = new HashMap<>();
     try (DiskStore store = new DiskStore(truncatedFolder, Runnable::run)) {
-      store.found().calls().forEach(call -> found.put(call.id(), call));
+      store.initialContents().calls().forEach(call -> found.put(call.id(), call));
     }
     int acknowledged = -1;
     for (int i = 0; i < acknowledgedLengths.size(); i++) {
