--- a/core/src/main/java/coveladder/core/AttemptGuard.java
+++ b/core/src/main/java/coveladder/core/AttemptGuard.java
@@ -1,43 +1,49 @@
 package coveladder.core;
 
 /**
- * The last look at a set-up before it leaves: whether it would break a rule whatever asked for it.
- * The module keeps the rules by itself; this guards against a fault in it or in the driver. A
- * set-up held back here ends as skipped, and is counted.
+ * Checks each set-up just before it is sent. The policy observes these rules by itself; the guard
+ * protects against a fault in the policy or in its driver. A suppressed set-up ends as skipped and
+ * is counted.
  */
 public final class AttemptGuard {
-  private final double guard;
-  private final double grace;
+  private final double guardTimeMillis;
+  private final double drainGraceMillis;
   private long suppressed;
 
   /**
-   * Makes the guard.
+   * Creates a guard.
    *
-   * @param guard wait after a time-out, reset or cancel before the call is sent again, ms
-   * @param grace time after word of a drain within which sends must cease, ms
+   * @param guardTimeMillis minimum time between a time-out, reset or cancel and the call's next
+   *     set-up, ms
+   * @param drainGraceMillis time after the notice of a drain within which set-ups may still be
+   *     sent, ms
    */
-  public AttemptGuard(double guard, double grace) {
-    this.guard = guard;
-    this.grace = grace;
+  public AttemptGuard(double guardTimeMillis, double drainGraceMillis) {
+    this.guardTimeMillis = guardTimeMillis;
+    this.drainGraceMillis = drainGraceMillis;
   }
 
-  /** Whether the set-up may leave now. */
+  /** Whether a set-up of the call may be sent now; counts it as suppressed if not. */
   public boolean permits(TrackedCall call, double closedSince, double now) {
     boolean permitted =
         !call.isAnswered()
-            && call.current() == null
-            && now - call.lastUnsure() >= guard
+            && call.currentAttempt() == null
+            && now - call.lastUncertainEnd() >= guardTimeMillis
             && withinDrainGrace(closedSince, now);
     suppressed += permitted ? 0 : 1;
     return permitted;
   }
 
-  /** Whether something new may still go to an exchange that was told as closed then, if ever. */
+  /**
+   * Whether set-ups may still be sent to an exchange.
+   *
+   * @param closedSince clock at which it was reported as closed, ms; infinite if it is in service
+   */
   public boolean withinDrainGrace(double closedSince, double now) {
-    return now - closedSince <= grace;
+    return now - closedSince <= drainGraceMillis;
   }
 
-  /** Set-ups held back so far; any is a fault. */
+  /** Number of set-ups suppressed so far; each indicates a fault. */
   public long suppressed() {
     return suppressed;
   }
--- a/core/src/main/java/coveladder/core/AttemptRequest.java
+++ b/core/src/main/java/coveladder/core/AttemptRequest.java
@@ -1,14 +1,14 @@
 package coveladder.core;
 
 /**
- * One set-up that is to go out.
+ * A request to send one set-up.
  *
- * @param call the call's id
+ * @param call id of the call
  * @param attempt number of the attempt, from 0
- * @param nextExchange the exchange that it is sent to: the destination, or a tandem
- * @param destination the exchange that the call is for; null where the list has none in service
- * @param number the number called
- * @param timeoutMillis its time limit, ms; the core watches it
+ * @param nextExchange the exchange that the set-up is sent to: the destination, or a tandem
+ * @param destination the destination exchange; null if the directory has none in service
+ * @param number the called number
+ * @param timeoutMillis time limit of the attempt, ms, enforced by the core
  */
 public record AttemptRequest(
     String call,
@@ -18,7 +18,7 @@
     String number,
     double timeoutMillis) {
 
-  /** Whether it goes through a tandem. */
+  /** Whether the set-up is sent to a tandem. */
   public boolean viaTandem() {
     return destination == null || nextExchange.number() != destination.number();
   }
--- a/core/src/main/java/coveladder/core/CallController.java
+++ b/core/src/main/java/coveladder/core/CallController.java
@@ -18,255 +18,267 @@
 import java.util.function.Function;
 
 /**
- * Drives the policy: tells it what happens, once each, and carries out what it decides. It makes no
- * decision on calls of its own; it only keeps what the policy may count on, that every attempt ends
- * exactly once and every call has one final answer.
+ * Drives the routing policy: reports each event to it once and carries out the actions that it
+ * requests. The controller makes no routing decisions; it guarantees that every attempt ends
+ * exactly once and that every call gets one final answer.
  *
- * <p>Events that come up while the policy is deciding wait until it has returned.
+ * <p>Events that arise during a call of the policy are queued until that call returns.
  */
 public final class CallController {
   private final CallPolicy.Settings settings;
   private final Signalling signalling;
-  private final Scheduler clock;
-  private final AttemptGuard guard;
-  private final Observer journal;
+  private final Scheduler scheduler;
+  private final AttemptGuard attemptGuard;
+  private final Observer observer;
   private final CallPolicy policy;
   private final ExchangeDirectory directory = new ExchangeDirectory();
   private final CircuitGroups circuitGroups = new CircuitGroups();
-  private final LoadReports reports = new LoadReports();
+  private final LoadReports loadReports = new LoadReports();
   private final Map<String, TrackedCall> calls = new LinkedHashMap<>();
-  private final ArrayDeque<Consumer<CallPolicy>> events = new ArrayDeque<>();
-  private boolean deciding;
-  private boolean ending;
+  private final ArrayDeque<Consumer<CallPolicy>> queuedEvents = new ArrayDeque<>();
+  private boolean dispatching;
+  private boolean draining;
 
-  /** Hears of each step of each call, for logs and counters. */
+  /** Receives each step of each call, for logs and counters. */
   public interface Observer {
-    /** Keeps nothing. */
+    /** Ignores all steps. */
     Observer NONE = new Observer() {};
 
-    /** A call was taken. */
+    /** A call was accepted. */
     default void callAccepted(TrackedCall call) {}
 
-    /** A set-up left. */
+    /** An attempt was started. */
     default void attemptSent(TrackedCall call, AttemptRequest request) {}
 
-    /** A set-up is over, or the standing call that it made. */
+    /** An attempt, or the call that it established, ended; {@code elapsed} is in ms. */
     default void attemptEnded(
         TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsed) {}
 
-    /** The final answer was given. */
+    /** The final answer was given {@code elapsed} ms after the call was accepted. */
     default void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsed) {}
 
-    /** The caller left before it. */
+    /** The caller abandoned the call before its final answer, after {@code elapsed} ms. */
     default void callerAbandoned(TrackedCall call, double elapsed) {}
 
-    /** Nothing is left of the call here. */
+    /** The call has ended and is no longer tracked. */
     default void callRemoved(TrackedCall call) {}
   }
 
   /**
-   * Makes a controller.
+   * Creates a controller.
    *
-   * @param policies makes the policy that decides, given where its actions go
+   * @param policyFactory creates the policy, given the receiver of its actions
    */
   public CallController(
       CallPolicy.Settings settings,
       Signalling signalling,
       AttemptGuard guard,
       Observer journal,
-      Function<CallPolicy.Actions, CallPolicy> policies) {
+      Function<CallPolicy.Actions, CallPolicy> policyFactory) {
     this.settings = settings;
     this.signalling = signalling;
-    this.clock = signalling.scheduler();
-    this.guard = guard;
-    this.journal = journal;
-    this.policy = policies.apply(new Deeds());
+    this.scheduler = signalling.scheduler();
+    this.attemptGuard = guard;
+    this.observer = journal;
+    this.policy = policyFactory.apply(new PolicyActions());
   }
 
-  /** Begins: the policy starts without memory. */
+  /** Starts the controller and its policy, which has no state from an earlier run. */
   public void start() {
-    tell(p -> p.onStart(clock.now()));
+    dispatch(p -> p.onStart(scheduler.now()));
     if (!settings.directoryOnRequest()) {
       signalling.subscribeToDirectory();
     }
   }
 
-  /** The exchange list as told so far. */
+  /** The exchange directory as reported so far. */
   public ExchangeDirectory directory() {
     return directory;
   }
 
-  /** The own circuit groups as told so far. */
+  /** The circuit groups of the local exchange as reported so far. */
   public CircuitGroups circuitGroups() {
     return circuitGroups;
   }
 
-  /** The settings that the policy was given. */
+  /** The settings of the policy. */
   public CallPolicy.Settings settings() {
     return settings;
   }
 
-  /** Calls held, standing ones included. */
+  /** Number of tracked calls, established ones included. */
   public int callCount() {
     return calls.size();
   }
 
-  /** A call that is held; null if there is none of that id. */
+  /** The tracked call with this id; null if there is none. */
   public TrackedCall call(String id) {
     return calls.get(id);
   }
 
-  /** Calls that are owed their final answer. */
+  /** Number of calls without a final answer. */
   public long pendingCallCount() {
     return calls.values().stream().filter(call -> !call.isAnswered()).count();
   }
 
-  private void tell(Consumer<CallPolicy> event) {
-    events.add(event);
-    if (deciding) {
+  private void dispatch(Consumer<CallPolicy> event) {
+    queuedEvents.add(event);
+    if (dispatching) {
       return;
     }
-    deciding = true;
+    dispatching = true;
     try {
-      for (Consumer<CallPolicy> next = events.poll(); next != null; next = events.poll()) {
+      for (Consumer<CallPolicy> next = queuedEvents.poll();
+          next != null;
+          next = queuedEvents.poll()) {
         next.accept(policy);
       }
     } finally {
-      deciding = false;
+      dispatching = false;
     }
   }
 
   // ---- Calls --------------------------------------------------------------------------------
 
-  /** A call came. Its id must be new. */
+  /**
+   * A call arrived.
+   *
+   * @throws IllegalArgumentException if a call with the same id is tracked already
+   */
   public void callArrived(Call call) {
-    double now = clock.now();
-    TrackedCall held = new TrackedCall(call, now);
-    if (calls.putIfAbsent(call.id(), held) != null) {
-      throw new IllegalArgumentException("call " + call.id() + " is held already");
-    }
-    journal.callAccepted(held);
-    if (ending) {
-      finalAnswer(held, new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE));
+    double now = scheduler.now();
+    TrackedCall tracked = new TrackedCall(call, now);
+    if (calls.putIfAbsent(call.id(), tracked) != null) {
+      throw new IllegalArgumentException("call " + call.id() + " is tracked already");
+    }
+    observer.callAccepted(tracked);
+    if (draining) {
+      giveFinalAnswer(tracked, new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE));
       return;
     }
-    held.deadline(clock.schedule(Math.max(0, call.patience()), () -> patienceEnded(held)));
-    tell(p -> p.onCall(clock.now(), call));
+    tracked.patienceTimer(
+        scheduler.schedule(Math.max(0, call.patience()), () -> patienceExpired(tracked)));
+    dispatch(p -> p.onCall(scheduler.now(), call));
   }
 
-  /** Guards a caller against a policy that let its time run out. */
-  private void patienceEnded(TrackedCall held) {
-    if (!held.isAnswered()) {
-      finalAnswer(held, new FinalAnswer(FinalAnswer.Kind.FAILED, 0, held.lastReason()));
-      tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
+  /** Answers a caller whose patience ended before the policy gave a final answer. */
+  private void patienceExpired(TrackedCall tracked) {
+    if (!tracked.isAnswered()) {
+      giveFinalAnswer(tracked, new FinalAnswer(FinalAnswer.Kind.FAILED, 0, tracked.lastReason()));
+      dispatch(p -> p.onCallerAbandoned(scheduler.now(), tracked.call().id()));
     }
   }
 
   /**
-   * Holds a call again that stood before a restart. The policy, which begins anew, is not told: the
-   * circuits that it holds are in the switch's reports.
+   * Restores a call that was established before a restart. It is not reported to the policy, which
+   * starts without state: the switch's reports account for the circuits that the call occupies.
+   *
+   * @throws IllegalArgumentException if a call with the same id is tracked already
    */
   public void resume(Call call, int attempt, String exchange) {
-    ExchangeDirectory.Entry first =
+    ExchangeDirectory.Entry entry =
         new ExchangeDirectory.Entry(exchange, -1, "", "", CallPolicy.ExchangeState.IN_SERVICE, 0);
-    TrackedCall held = new TrackedCall(call, clock.now());
-    held.resume(new TrackedCall.Attempt(attempt, first, clock.now()));
-    if (calls.putIfAbsent(call.id(), held) != null) {
-      throw new IllegalArgumentException("call " + call.id() + " is held already");
+    TrackedCall tracked = new TrackedCall(call, scheduler.now());
+    tracked.restoreEstablished(new TrackedCall.Attempt(attempt, entry, scheduler.now()));
+    if (calls.putIfAbsent(call.id(), tracked) != null) {
+      throw new IllegalArgumentException("call " + call.id() + " is tracked already");
     }
   }
 
-  /** The caller called off before the final answer; the front has answered it. */
+  /** The caller cancelled before the final answer; the front end has answered the cancel. */
   public void callerAbandoned(String id) {
-    TrackedCall held = calls.get(id);
-    if (held != null && held.isEstablished()) {
-      // Its CANCEL crossed our 2xx while that waited to be kept: the call is released instead.
+    TrackedCall tracked = calls.get(id);
+    if (tracked != null && tracked.isEstablished()) {
+      // The CANCEL crossed the 2xx while that waited to be persisted: release the call instead.
       callerReleased(id);
     }
-    if (held != null && !held.isAnswered()) {
-      held.answer(false);
-      journal.callerAbandoned(held, clock.now() - held.acceptedAt());
-      cancelCurrent(held);
-      tell(p -> p.onCallerAbandoned(clock.now(), id));
-      letGo(held);
+    if (tracked != null && !tracked.isAnswered()) {
+      tracked.markAnswered(false);
+      observer.callerAbandoned(tracked, scheduler.now() - tracked.acceptedAt());
+      cancelCurrentAttempt(tracked);
+      dispatch(p -> p.onCallerAbandoned(scheduler.now(), id));
+      removeIfFinished(tracked);
     }
   }
 
-  /** The caller ended a call that stands. */
+  /** The caller released an established call. */
   public void callerReleased(String id) {
-    TrackedCall held = calls.get(id);
-    if (held != null && held.isEstablished() && held.current() != null) {
-      signalling.releaseAttempt(id, held.current().number);
-      over(held, Outcome.DONE, Reason.NONE, 0, null);
+    TrackedCall tracked = calls.get(id);
+    if (tracked != null && tracked.isEstablished() && tracked.currentAttempt() != null) {
+      signalling.releaseAttempt(id, tracked.currentAttempt().number);
+      endAttempt(tracked, Outcome.DONE, Reason.NONE, 0, null);
     }
   }
 
-  private void finalAnswer(TrackedCall held, FinalAnswer answer) {
-    held.answer(answer.kind() == FinalAnswer.Kind.STANDS);
-    journal.finalAnswerGiven(held, answer, clock.now() - held.acceptedAt());
-    signalling.answer(held.call().id(), answer);
-    if (!held.isEstablished()) {
-      cancelCurrent(held);
-      letGo(held);
+  private void giveFinalAnswer(TrackedCall tracked, FinalAnswer answer) {
+    tracked.markAnswered(answer.kind() == FinalAnswer.Kind.STANDS);
+    observer.finalAnswerGiven(tracked, answer, scheduler.now() - tracked.acceptedAt());
+    signalling.answer(tracked.call().id(), answer);
+    if (!tracked.isEstablished()) {
+      cancelCurrentAttempt(tracked);
+      removeIfFinished(tracked);
     }
   }
 
-  private void cancelCurrent(TrackedCall held) {
-    TrackedCall.Attempt out = held.current();
-    if (out != null && out.ending == TrackedCall.Ending.OPEN) {
-      out.ending = TrackedCall.Ending.CANCELLED;
-      out.stopLimit();
-      signalling.cancelAttempt(held.call().id(), out.number);
+  private void cancelCurrentAttempt(TrackedCall tracked) {
+    TrackedCall.Attempt current = tracked.currentAttempt();
+    if (current != null && current.ending == TrackedCall.LocalEnding.NONE) {
+      current.ending = TrackedCall.LocalEnding.CANCELLED;
+      current.cancelTimeout();
+      signalling.cancelAttempt(tracked.call().id(), current.number);
     }
   }
 
-  private void letGo(TrackedCall held) {
-    if (held.isAnswered() && held.current() == null && calls.remove(held.call().id()) != null) {
-      journal.callRemoved(held);
+  private void removeIfFinished(TrackedCall tracked) {
+    if (tracked.isAnswered()
+        && tracked.currentAttempt() == null
+        && calls.remove(tracked.call().id()) != null) {
+      observer.callRemoved(tracked);
     }
   }
 
   // ---- Attempts -----------------------------------------------------------------------------
 
   /**
-   * An attempt was answered: the call stands. Answers for calls that are over, or attempts that
-   * were given up, must not come here; the front releases them and tells {@link #attemptEnded}.
+   * An attempt was answered: the call is established. The front end itself releases answers to
+   * calls that have ended or attempts that were given up and reports {@link #attemptEnded}; one
+   * that is reported here all the same is released without further effect.
    */
   public void attemptAnswered(String id, int attempt) {
-    TrackedCall held = calls.get(id);
-    TrackedCall.Attempt out = held == null ? null : held.current();
-    if (out == null || out.number != attempt || held.isAnswered()) {
+    TrackedCall tracked = calls.get(id);
+    TrackedCall.Attempt current = tracked == null ? null : tracked.currentAttempt();
+    if (current == null || current.number != attempt || tracked.isAnswered()) {
       signalling.releaseAttempt(id, attempt);
       return;
     }
-    out.stopLimit();
-    double spent = clock.now() - out.sent;
-    finalAnswer(held, FinalAnswer.ESTABLISHED);
-    tell(p -> p.onEstablished(clock.now(), new Established(id, attempt, spent)));
+    current.cancelTimeout();
+    double elapsed = scheduler.now() - current.sentAt;
+    giveFinalAnswer(tracked, FinalAnswer.ESTABLISHED);
+    dispatch(p -> p.onEstablished(scheduler.now(), new Established(id, attempt, elapsed)));
   }
 
   /**
-   * The callee itself gave a final answer that no other route would change, such as a challenge or
-   * an unknown number: it is the call's final answer too, as a 2xx is.
+   * The callee gave a final answer that no other route would change, such as a challenge or an
+   * unknown number. Like a 2xx, it is also the final answer of the call.
    */
   public void calleeRejected(String id, int attempt) {
-    TrackedCall held = calls.get(id);
-    TrackedCall.Attempt out = held == null ? null : held.current();
-    if (out == null || out.number != attempt) {
+    TrackedCall tracked = calls.get(id);
+    TrackedCall.Attempt current = tracked == null ? null : tracked.currentAttempt();
+    if (current == null || current.number != attempt) {
       return;
     }
-    if (!held.isAnswered()) {
-      held.answer(false);
+    if (!tracked.isAnswered()) {
+      tracked.markAnswered(false);
       FinalAnswer passed = new FinalAnswer(FinalAnswer.Kind.PASSED, 0, Reason.NONE);
-      journal.finalAnswerGiven(held, passed, clock.now() - held.acceptedAt());
+      observer.finalAnswerGiven(tracked, passed, scheduler.now() - tracked.acceptedAt());
       signalling.answer(id, passed);
     }
-    over(held, Outcome.ERROR, Reason.NONE, 0, null);
+    endAttempt(tracked, Outcome.ERROR, Reason.NONE, 0, null);
   }
 
   /**
-   * An attempt is over on the wire: its final answer, its reset, or the end of waiting after a
-   * cancel is in. Repeats are ignored.
+   * An attempt ended: with its final answer, with a reset, or when the wait after its cancel is
+   * over. Repeated reports are ignored.
    */
   public void attemptEnded(
       String id, int attempt, Outcome outcome, Reason reason, double requestedWait) {
@@ -274,261 +286,292 @@
   }
 
   /**
-   * An attempt is over, and figures came with its end.
+   * An attempt ended, and load figures came with its end.
    *
-   * @param load the figures, as they came; null: those last held of the exchange
+   * @param load the load figures that came with it; null: the last known ones are used
    */
   public void attemptEnded(
       String id, int attempt, Outcome outcome, Reason reason, double requestedWait, Load load) {
-    TrackedCall held = calls.get(id);
-    if (held == null || held.current() == null || held.current().number != attempt) {
+    TrackedCall tracked = calls.get(id);
+    if (tracked == null
+        || tracked.currentAttempt() == null
+        || tracked.currentAttempt().number != attempt) {
       return;
     }
-    if (held.isEstablished()) {
+    if (tracked.isEstablished()) {
       signalling.releaseCaller(id, outcome != Outcome.DONE);
     }
-    over(held, outcome, reason, requestedWait, load);
+    endAttempt(tracked, outcome, reason, requestedWait, load);
   }
 
-  private void over(TrackedCall held, Outcome wire, Reason reason, double wait, Load told) {
-    TrackedCall.Attempt out = held.current();
-    Outcome outcome = outcome(out, wire);
-    boolean own = outcome != wire;
-    double spent = clock.now() - out.sent;
-    out.stopLimit();
-    held.attemptOver(unsure(outcome), own ? Reason.NONE : reason, clock.now());
-    journal.attemptEnded(held, out.number, outcome, own ? Reason.NONE : reason, spent);
+  private void endAttempt(
+      TrackedCall tracked, Outcome reported, Reason reason, double requestedWait, Load load) {
+    TrackedCall.Attempt current = tracked.currentAttempt();
+    Outcome outcome = effectiveOutcome(current, reported);
+    boolean overridden = outcome != reported;
+    double elapsed = scheduler.now() - current.sentAt;
+    current.cancelTimeout();
+    tracked.attemptEnded(isUncertain(outcome), overridden ? Reason.NONE : reason, scheduler.now());
+    observer.attemptEnded(
+        tracked, current.number, outcome, overridden ? Reason.NONE : reason, elapsed);
     AttemptEnded ended =
         new AttemptEnded(
-            held.call().id(),
-            out.number,
-            out.first.id(),
+            tracked.call().id(),
+            current.number,
+            current.exchange.id(),
             outcome,
-            own ? Reason.NONE : reason,
-            own ? 0 : wait,
-            spent,
-            held.isAnswered(),
-            told == null ? load(out.first) : told);
-    letGo(held);
-    tell(p -> p.onAttemptEnded(clock.now(), ended));
+            overridden ? Reason.NONE : reason,
+            overridden ? 0 : requestedWait,
+            elapsed,
+            tracked.isAnswered(),
+            load == null ? currentLoad(current.exchange) : load);
+    removeIfFinished(tracked);
+    dispatch(p -> p.onAttemptEnded(scheduler.now(), ended));
   }
 
   /**
-   * An attempt that this controller called off counts as such whatever came last, so that the
-   * release guard is kept after a refusal that crossed the CANCEL.
+   * Returns the local outcome for an attempt that this controller ended, whatever was reported
+   * last, so that the guard time is observed after a refusal that crossed the CANCEL.
    */
-  private static Outcome outcome(TrackedCall.Attempt out, Outcome wire) {
-    return switch (out.ending) {
-      case OPEN -> wire;
+  private static Outcome effectiveOutcome(TrackedCall.Attempt current, Outcome reported) {
+    return switch (current.ending) {
+      case NONE -> reported;
       case TIMED_OUT -> Outcome.TIMED_OUT;
       case CANCELLED -> Outcome.CANCELLED;
     };
   }
 
-  private static boolean unsure(Outcome outcome) {
+  private static boolean isUncertain(Outcome outcome) {
     return outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED;
   }
 
-  private Load load(ExchangeDirectory.Entry exchange) {
-    return reports.load(exchange.id(), circuitGroups.toward(exchange.number()), clock.now());
+  private Load currentLoad(ExchangeDirectory.Entry exchange) {
+    return loadReports.load(
+        exchange.id(), circuitGroups.toward(exchange.number()), scheduler.now());
   }
 
-  private void timedOut(TrackedCall held, TrackedCall.Attempt out) {
-    if (held.current() == out && out.ending == TrackedCall.Ending.OPEN && !held.isEstablished()) {
-      out.ending = TrackedCall.Ending.TIMED_OUT;
-      signalling.cancelAttempt(held.call().id(), out.number);
+  private void attemptTimedOut(TrackedCall tracked, TrackedCall.Attempt current) {
+    if (tracked.currentAttempt() == current
+        && current.ending == TrackedCall.LocalEnding.NONE
+        && !tracked.isEstablished()) {
+      current.ending = TrackedCall.LocalEnding.TIMED_OUT;
+      signalling.cancelAttempt(tracked.call().id(), current.number);
     }
   }
 
-  // ---- News ---------------------------------------------------------------------------------
+  // ---- Directory, load reports and messages ---------------------------------------------------
 
-  /** The list sent news; whether it must be asked for whole, as something is missing. */
+  /**
+   * An update of the exchange directory arrived.
+   *
+   * @return whether an earlier update is missing and the complete directory must be requested
+   */
   public boolean updateDirectory(ExchangeDirectory.Update update) {
-    ExchangeDirectory.UpdateResult taken = directory.apply(update, clock.now());
-    if (taken == ExchangeDirectory.UpdateResult.APPLIED) {
+    ExchangeDirectory.UpdateResult result = directory.apply(update, scheduler.now());
+    if (result == ExchangeDirectory.UpdateResult.APPLIED) {
       List<CallPolicy.Exchange> entries = new ArrayList<>();
       update.entries().forEach(entry -> entries.add(entry.forPolicy()));
-      tell(
+      dispatch(
           p ->
               p.onDirectoryUpdate(
-                  clock.now(), new DirectoryUpdate(false, update.complete(), entries)));
-      retellCircuits(update.entries());
+                  scheduler.now(), new DirectoryUpdate(false, update.complete(), entries)));
+      reportKnownCircuits(update.entries());
     }
-    return taken == ExchangeDirectory.UpdateResult.GAP;
+    return result == ExchangeDirectory.UpdateResult.GAP;
   }
 
-  /** Groups may be told before the list names the exchange at their other end. */
-  private void retellCircuits(List<ExchangeDirectory.Entry> entries) {
+  /** Circuit groups may be reported before the directory lists their remote exchange. */
+  private void reportKnownCircuits(List<ExchangeDirectory.Entry> entries) {
     for (ExchangeDirectory.Entry entry : entries) {
       if (circuitGroups.toward(entry.number()) != null && directory.byId(entry.id()) != null) {
-        tell(p -> p.onLoadReport(clock.now(), new LoadReport(entry.id(), true, 0, load(entry))));
+        dispatch(
+            p ->
+                p.onLoadReport(
+                    scheduler.now(), new LoadReport(entry.id(), true, 0, currentLoad(entry))));
       }
     }
   }
 
-  /** The list could not be had; the old one stays. */
+  /** The exchange directory could not be fetched; the present one stays in force. */
   public void directoryUnavailable() {
-    tell(p -> p.onDirectoryUpdate(clock.now(), new DirectoryUpdate(true, false, List.of())));
+    dispatch(
+        p -> p.onDirectoryUpdate(scheduler.now(), new DirectoryUpdate(true, false, List.of())));
   }
 
-  /** The own switch told the free circuits of a group. */
+  /** The local switch reported the free circuits of the group toward an exchange. */
   public void circuitsReported(int number, int free, int size, long version) {
-    ExchangeDirectory.Entry far = directory.byNumber(number);
-    if (circuitGroups.update(number, free, size, version) && far != null) {
-      tell(p -> p.onLoadReport(clock.now(), new LoadReport(far.id(), true, 0, load(far))));
+    ExchangeDirectory.Entry remote = directory.byNumber(number);
+    if (circuitGroups.update(number, free, size, version) && remote != null) {
+      dispatch(
+          p ->
+              p.onLoadReport(
+                  scheduler.now(), new LoadReport(remote.id(), true, 0, currentLoad(remote))));
     }
   }
 
-  /** An exchange told figures unasked, those of the group toward it among them. */
+  /** An exchange sent unsolicited load figures, those of the circuit group toward it included. */
   public void unsolicitedLoadReported(String exchange, Load load) {
     if (directory.byId(exchange) != null) {
-      tell(p -> p.onLoadReport(clock.now(), new LoadReport(exchange, true, 0, load)));
+      dispatch(p -> p.onLoadReport(scheduler.now(), new LoadReport(exchange, true, 0, load)));
     }
   }
 
-  /** Load figures came with an answer of an exchange. */
+  /** An overload report came with an answer of an exchange. */
   public void overloadReported(String exchange, LoadReports.Report report) {
-    reports.update(exchange, report);
+    loadReports.update(exchange, report);
   }
 
-  /** A probe was answered, or was not. */
+  /**
+   * A probe was answered, or failed.
+   *
+   * @param sentAt clock at which it was sent, ms
+   */
   public void probeCompleted(String exchange, boolean answered, double sentAt) {
     ExchangeDirectory.Entry entry = directory.byId(exchange);
     if (entry != null) {
-      LoadReport report = new LoadReport(exchange, answered, clock.now() - sentAt, load(entry));
-      tell(p -> p.onLoadReport(clock.now(), report));
+      LoadReport report =
+          new LoadReport(exchange, answered, scheduler.now() - sentAt, currentLoad(entry));
+      dispatch(p -> p.onLoadReport(scheduler.now(), report));
     }
   }
 
-  /** A message from another controller came. */
+  /** A message from another controller arrived. */
   public void peerMessageReceived(int from, byte[] payload) {
-    tell(p -> p.onPeerMessage(clock.now(), from, payload));
+    dispatch(p -> p.onPeerMessage(scheduler.now(), from, payload));
   }
 
-  // ---- The end ------------------------------------------------------------------------------
+  // ---- Shutdown -----------------------------------------------------------------------------
 
-  /** Takes nothing new: calls that come are refused, those in flight go on. */
+  /** Refuses new calls from now on; pending and established calls continue. */
   public void drain() {
-    ending = true;
+    draining = true;
   }
 
   /**
-   * Takes nothing new and gives each call in flight its one final answer. Attempts out are called
-   * off; calls that stand go on without this controller's decisions.
+   * Refuses new calls and gives each pending call its one final answer. Outstanding attempts are
+   * cancelled; established calls continue.
    */
   public void shutDown() {
     drain();
-    for (TrackedCall held : new ArrayList<>(calls.values())) {
-      if (!held.isAnswered()) {
-        finalAnswer(held, new FinalAnswer(atTheEnd(held), 0, Reason.NONE));
-        tell(p -> p.onCallerAbandoned(clock.now(), held.call().id()));
+    for (TrackedCall tracked : new ArrayList<>(calls.values())) {
+      if (!tracked.isAnswered()) {
+        giveFinalAnswer(tracked, new FinalAnswer(shutdownAnswer(tracked), 0, Reason.NONE));
+        dispatch(p -> p.onCallerAbandoned(scheduler.now(), tracked.call().id()));
       }
     }
   }
 
-  /** A call that may have run, of a class that is not simply repeated, has failed. */
-  private FinalAnswer.Kind atTheEnd(TrackedCall held) {
-    boolean harmless =
-        held.attemptCount() == 0 || settings.classes().get(held.call().type()).repeatAnywhere();
-    return harmless ? FinalAnswer.Kind.SHUT_DOWN : FinalAnswer.Kind.FAILED;
+  /** A call that may have taken effect has failed if its class is not safe to repeat. */
+  private FinalAnswer.Kind shutdownAnswer(TrackedCall tracked) {
+    boolean safeToRetry =
+        tracked.attemptCount() == 0
+            || settings.classes().get(tracked.call().type()).repeatAnywhere();
+    return safeToRetry ? FinalAnswer.Kind.SHUT_DOWN : FinalAnswer.Kind.FAILED;
   }
 
-  /** Ends the calls that stand, from both sides. */
+  /** Releases all established calls, on both sides. */
   public void releaseEstablished() {
-    for (TrackedCall held : new ArrayList<>(calls.values())) {
-      if (held.isEstablished() && held.current() != null) {
-        signalling.releaseAttempt(held.call().id(), held.current().number);
-        signalling.releaseCaller(held.call().id(), true);
-        over(held, Outcome.CANCELLED, Reason.NONE, 0, null);
+    for (TrackedCall tracked : new ArrayList<>(calls.values())) {
+      if (tracked.isEstablished() && tracked.currentAttempt() != null) {
+        signalling.releaseAttempt(tracked.call().id(), tracked.currentAttempt().number);
+        signalling.releaseCaller(tracked.call().id(), true);
+        endAttempt(tracked, Outcome.CANCELLED, Reason.NONE, 0, null);
       }
     }
   }
 
-  /** Attempts that are out, calls already answered included. */
+  /** Number of outstanding attempts, those of calls with a final answer included. */
   public long outstandingAttempts() {
-    return calls.values().stream().filter(c -> c.current() != null && !c.isEstablished()).count();
+    return calls.values().stream()
+        .filter(call -> call.currentAttempt() != null && !call.isEstablished())
+        .count();
   }
 
-  // ---- What the policy asks for -------------------------------------------------------------
+  // ---- Actions of the policy ------------------------------------------------------------------
 
-  /** Carries out the policy's actions. */
-  private final class Deeds implements CallPolicy.Actions {
+  /** Carries out the actions that the policy requests. */
+  private final class PolicyActions implements CallPolicy.Actions {
 
     @Override
-    public void send(String id, String exchange, double within) {
-      TrackedCall held = calls.get(id);
-      ExchangeDirectory.Entry first = directory.byId(exchange);
-      if (held == null) {
+    public void send(String id, String exchange, double timeoutMillis) {
+      TrackedCall tracked = calls.get(id);
+      ExchangeDirectory.Entry entry = directory.byId(exchange);
+      if (tracked == null) {
         return;
       }
-      int number = held.nextAttempt();
-      if (first == null || !guard.permits(held, directory.closedSince(exchange), clock.now())) {
-        skipped(held, number, exchange);
+      int number = tracked.nextAttempt();
+      if (entry == null
+          || !attemptGuard.permits(tracked, directory.closedSince(exchange), scheduler.now())) {
+        skipAttempt(tracked, number, exchange);
         return;
       }
-      TrackedCall.Attempt out = new TrackedCall.Attempt(number, first, clock.now());
-      held.begin(out);
-      out.limit = clock.schedule(Math.max(0, within), () -> timedOut(held, out));
-      ExchangeDirectory.Entry destination = directory.byNumber(held.call().destination());
-      AttemptRequest order =
-          new AttemptRequest(id, number, first, destination, held.call().number(), within);
-      journal.attemptSent(held, order);
-      signalling.startAttempt(order);
-    }
-
-    private void skipped(TrackedCall held, int number, String exchange) {
+      TrackedCall.Attempt current = new TrackedCall.Attempt(number, entry, scheduler.now());
+      tracked.attemptStarted(current);
+      current.timeout =
+          scheduler.schedule(Math.max(0, timeoutMillis), () -> attemptTimedOut(tracked, current));
+      ExchangeDirectory.Entry destination = directory.byNumber(tracked.call().destination());
+      AttemptRequest request =
+          new AttemptRequest(
+              id, number, entry, destination, tracked.call().number(), timeoutMillis);
+      observer.attemptSent(tracked, request);
+      signalling.startAttempt(request);
+    }
+
+    private void skipAttempt(TrackedCall tracked, int number, String exchange) {
       AttemptEnded ended =
           new AttemptEnded(
-              held.call().id(),
+              tracked.call().id(),
               number,
               exchange,
               Outcome.SKIPPED,
               Reason.NONE,
               0,
               0,
-              held.isAnswered(),
+              tracked.isAnswered(),
               Load.UNKNOWN);
-      journal.attemptEnded(held, number, Outcome.SKIPPED, Reason.NONE, 0);
-      tell(p -> p.onAttemptEnded(clock.now(), ended));
+      observer.attemptEnded(tracked, number, Outcome.SKIPPED, Reason.NONE, 0);
+      dispatch(p -> p.onAttemptEnded(scheduler.now(), ended));
     }
 
     @Override
     public void cancel(String id, int attempt) {
-      TrackedCall held = calls.get(id);
-      if (held != null && held.current() != null && held.current().number == attempt) {
-        if (!held.isEstablished()) {
-          cancelCurrent(held);
+      TrackedCall tracked = calls.get(id);
+      if (tracked != null
+          && tracked.currentAttempt() != null
+          && tracked.currentAttempt().number == attempt) {
+        if (!tracked.isEstablished()) {
+          cancelCurrentAttempt(tracked);
         }
       }
     }
 
     @Override
-    public void refuse(String id, double comeBack) {
-      end(id, FinalAnswer.Kind.REFUSED, comeBack);
+    public void refuse(String id, double retryAfterMillis) {
+      answerIfPending(id, FinalAnswer.Kind.REFUSED, retryAfterMillis);
     }
 
     @Override
     public void fail(String id) {
-      end(id, FinalAnswer.Kind.FAILED, 0);
+      answerIfPending(id, FinalAnswer.Kind.FAILED, 0);
     }
 
-    private void end(String id, FinalAnswer.Kind kind, double comeBack) {
-      TrackedCall held = calls.get(id);
-      if (held != null && !held.isAnswered()) {
-        finalAnswer(held, new FinalAnswer(kind, comeBack, held.lastReason()));
+    private void answerIfPending(String id, FinalAnswer.Kind kind, double retryAfterMillis) {
+      TrackedCall tracked = calls.get(id);
+      if (tracked != null && !tracked.isAnswered()) {
+        giveFinalAnswer(tracked, new FinalAnswer(kind, retryAfterMillis, tracked.lastReason()));
       }
     }
 
     @Override
-    public void startTimer(double delay, long label) {
-      clock.schedule(delay, () -> tell(p -> p.onTimer(clock.now(), label)));
+    public void startTimer(double delayMillis, long label) {
+      scheduler.schedule(delayMillis, () -> dispatch(p -> p.onTimer(scheduler.now(), label)));
     }
 
     @Override
     public void probe(String exchange) {
       ExchangeDirectory.Entry entry = directory.byId(exchange);
       if (entry != null) {
-        signalling.probe(entry, clock.now());
+        signalling.probe(entry, scheduler.now());
       }
     }
 
@@ -537,8 +580,8 @@
       signalling.broadcast(payload.clone());
     }
 
-    private void tell(Consumer<CallPolicy> event) {
-      CallController.this.tell(event);
+    private void dispatch(Consumer<CallPolicy> event) {
+      CallController.this.dispatch(event);
     }
 
     @Override
--- a/core/src/main/java/coveladder/core/CircuitGroups.java
+++ b/core/src/main/java/coveladder/core/CircuitGroups.java
@@ -2,40 +2,40 @@
 
 import java.util.TreeMap;
 
-/** Free circuits of the own groups, by the number of the exchange at the other end. */
+/** The circuit groups of the local exchange, by the number of the remote exchange. */
 public final class CircuitGroups {
   private final TreeMap<Integer, Group> groups = new TreeMap<>();
 
   /**
-   * One group.
+   * A circuit group.
    *
-   * @param free free circuits as last told
-   * @param size circuits in all
-   * @param version version of the report that told it
+   * @param free free circuits as last reported
+   * @param size number of circuits in the group
+   * @param version version of that report
    */
   public record Group(int free, int size, long version) {}
 
-  /** Takes a report in; whether it was newer than what is held. */
+  /** Stores a report if it is newer than the present one; returns whether it was. */
   public boolean update(int number, int free, int size, long version) {
-    Group held = groups.get(number);
-    if (held != null && held.version() >= version) {
+    Group previous = groups.get(number);
+    if (previous != null && previous.version() >= version) {
       return false;
     }
     groups.put(number, new Group(free, size, version));
     return true;
   }
 
-  /** Forgets all, as the own switch begins anew and counts its reports from the start. */
+  /** Removes all groups: the local switch has restarted and its report versions start again. */
   public void clear() {
     groups.clear();
   }
 
-  /** The group toward an exchange; null where none is known. */
+  /** The group toward an exchange; null if none is known. */
   public Group toward(int number) {
     return groups.get(number);
   }
 
-  /** How many groups are known. */
+  /** Number of known groups. */
   public int size() {
     return groups.size();
   }
--- a/core/src/main/java/coveladder/core/ExchangeDirectory.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -10,26 +10,27 @@
 import java.util.TreeSet;
 
 /**
- * The exchange list as this controller was told it. Changes come with the version that they follow;
- * one that follows another version than the held one shows a gap, and the whole list is needed.
+ * The exchange directory as last reported to this controller. An incremental update names the
+ * version that it applies to; if that is not the present version, an update was lost and the
+ * complete directory must be requested.
  */
 public final class ExchangeDirectory {
-  private static final int MOST_GONE = 256;
+  private static final int MAX_WITHDRAWN = 256;
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final Set<Integer> numbers = new TreeSet<>();
+  private final Set<Integer> everListedNumbers = new TreeSet<>();
   private final Map<String, Double> closedAt = new LinkedHashMap<>();
   private long version = -1;
 
   /**
-   * One exchange.
+   * A directory entry.
    *
-   * @param id its id; a processor that takes another's place has an id of its own
-   * @param number its number, the same for all processors of one place
-   * @param domain host part of URIs of numbers there
-   * @param address where its signalling is reached, as a URI
-   * @param state what the list says of it
-   * @param startedAt own clock of its last start, ms; 0: long ago
+   * @param id id of the exchange; a replacement processor has an id of its own
+   * @param number number of the exchange, the same for all its processors
+   * @param domain host part of the URIs of its numbers
+   * @param address URI of its signalling address
+   * @param state state of the exchange
+   * @param startedAt time of its last start by its own clock, ms; 0: long ago
    */
   public record Entry(
       String id, int number, String domain, String address, ExchangeState state, double startedAt) {
@@ -40,45 +41,45 @@
   }
 
   /**
-   * What came from the list.
+   * An update of the directory.
    *
-   * @param complete whether the entries are the whole list
-   * @param baseVersion version that changes follow; without meaning for a whole list
-   * @param version version that they lead to
-   * @param entries the lines
+   * @param complete whether the entries are the complete directory
+   * @param baseVersion version that an incremental update applies to; unused in a complete one
+   * @param version version after the update
+   * @param entries all entries, or those that changed
    */
   public record Update(boolean complete, long baseVersion, long version, List<Entry> entries) {}
 
-  /** What became of news. */
+  /** What became of an update. */
   public enum UpdateResult {
-    /** The list has changed. */
+    /** The update was applied. */
     APPLIED,
-    /** It was known already. */
+    /** The directory already has this version. */
     OUTDATED,
-    /** Something between is missing: the whole list must be asked for. */
+    /** An earlier update is missing: the complete directory must be requested. */
     GAP
   }
 
-  /** Takes news in. */
-  public UpdateResult apply(Update news, double now) {
-    if (!news.complete() && news.version() <= version) {
+  /** Applies an update unless it is outdated or an earlier one is missing. */
+  public UpdateResult apply(Update update, double now) {
+    if (!update.complete() && update.version() <= version) {
       return UpdateResult.OUTDATED;
     }
-    if (!news.complete() && news.baseVersion() != version) {
+    if (!update.complete() && update.baseVersion() != version) {
       return UpdateResult.GAP;
     }
-    if (news.complete()) {
-      entries.keySet().removeIf(id -> isMissing(id, news, now));
+    if (update.complete()) {
+      entries.keySet().removeIf(id -> markClosedIfMissing(id, update, now));
     }
-    version = news.version();
-    for (Entry entry : news.entries()) {
+    version = update.version();
+    for (Entry entry : update.entries()) {
       put(entry, now);
     }
     return UpdateResult.APPLIED;
   }
 
-  private boolean isMissing(String id, Update news, double now) {
-    boolean missing = news.entries().stream().noneMatch(entry -> entry.id().equals(id));
+  private boolean markClosedIfMissing(String id, Update update, double now) {
+    boolean missing = update.entries().stream().noneMatch(entry -> entry.id().equals(id));
     if (missing) {
       closedAt.putIfAbsent(id, now);
     }
@@ -86,7 +87,7 @@
   }
 
   private void put(Entry entry, double now) {
-    numbers.add(entry.number());
+    everListedNumbers.add(entry.number());
     if (entry.state() == ExchangeState.IN_SERVICE) {
       closedAt.remove(entry.id());
     } else {
@@ -97,12 +98,12 @@
     } else {
       entries.put(entry.id(), entry);
     }
-    forgetOldest();
+    evictOldestWithdrawn();
   }
 
-  /** Exchanges that are gone for good must not be held for good, where ids are ever new. */
-  private void forgetOldest() {
-    if (closedAt.size() > entries.size() + MOST_GONE) {
+  /** Bounds the memory for withdrawn exchanges: replacements come under ever new ids. */
+  private void evictOldestWithdrawn() {
+    if (closedAt.size() > entries.size() + MAX_WITHDRAWN) {
       closedAt.keySet().stream()
           .filter(id -> !entries.containsKey(id))
           .findFirst()
@@ -110,38 +111,38 @@
     }
   }
 
-  /** The exchange of that id; null where the list has none. */
+  /** The exchange with this id; null if the directory has none. */
   public Entry byId(String id) {
     return entries.get(id);
   }
 
-  /** The newest exchange in service of a number; null where there is none. */
+  /** The newest exchange in service with this number; null if there is none. */
   public Entry byNumber(int number) {
-    return newest(entry -> entry.number() == number);
+    return newestInService(entry -> entry.number() == number);
   }
 
-  /** The newest exchange in service for a domain, in any case; null where there is none. */
+  /** The newest exchange in service for a domain, ignoring case; null if there is none. */
   public Entry byDomain(String domain) {
-    return newest(entry -> entry.domain().equalsIgnoreCase(domain));
+    return newestInService(entry -> entry.domain().equalsIgnoreCase(domain));
   }
 
-  private Entry newest(java.util.function.Predicate<Entry> fits) {
+  private Entry newestInService(java.util.function.Predicate<Entry> condition) {
     Entry found = null;
     for (Entry entry : entries.values()) {
-      boolean open = entry.state() == ExchangeState.IN_SERVICE && fits.test(entry);
-      if (open && (found == null || entry.startedAt() > found.startedAt())) {
+      boolean matches = entry.state() == ExchangeState.IN_SERVICE && condition.test(entry);
+      if (matches && (found == null || entry.startedAt() > found.startedAt())) {
         found = entry;
       }
     }
     return found;
   }
 
-  /** Whether an exchange of that number was ever on the list. */
+  /** Whether the directory ever listed an exchange with this number. */
   public boolean hasEverListed(int number) {
-    return numbers.contains(number);
+    return everListedNumbers.contains(number);
   }
 
-  /** Number of the exchange for a domain, in service or not; -1 where the list knows none. */
+  /** Number of the exchange for a domain, in service or not; -1 if the directory has none. */
   public int numberOfDomain(String domain) {
     for (Entry entry : entries.values()) {
       if (entry.domain().equalsIgnoreCase(domain)) {
@@ -151,17 +152,17 @@
     return -1;
   }
 
-  /** Since when this controller knows that an exchange takes nothing new; infinite if it does. */
+  /** Clock at which an exchange was first reported as not in service, ms; infinite if it is. */
   public double closedSince(String id) {
     return closedAt.getOrDefault(id, Double.POSITIVE_INFINITY);
   }
 
-  /** All lines held. */
+  /** All entries. */
   public List<Entry> entries() {
     return new ArrayList<>(entries.values());
   }
 
-  /** The version held; -1 before the first news. */
+  /** The present version; -1 before the first update. */
   public long version() {
     return version;
   }
--- a/core/src/main/java/coveladder/core/FinalAnswer.java
+++ b/core/src/main/java/coveladder/core/FinalAnswer.java
@@ -5,26 +5,27 @@
 /**
  * The one final answer of a call.
  *
- * @param kind what it is
- * @param retryAfterMillis time that the caller should stay away, ms; 0: no word on it
- * @param reason why the last attempt came to nothing; NONE where there was none
+ * @param kind the kind of answer
+ * @param retryAfterMillis time that the caller is asked to wait before it retries, ms; 0: no
+ *     request
+ * @param reason why the last attempt was not set up; NONE if there was no attempt
  */
 public record FinalAnswer(Kind kind, double retryAfterMillis, Reason reason) {
 
   /** Kinds of final answers. */
   public enum Kind {
-    /** The call stands. */
+    /** The call is established. */
     STANDS,
-    /** Refused. */
+    /** The call is refused. */
     REFUSED,
-    /** Given up. */
+    /** The call has failed. */
     FAILED,
-    /** The callee's own final answer goes to the caller as it is. */
+    /** The callee's own final answer is passed to the caller unchanged. */
     PASSED,
-    /** The controller ends. */
+    /** The controller is shutting down. */
     SHUT_DOWN
   }
 
-  /** The answer that a call stands. */
+  /** The answer for an established call. */
   public static final FinalAnswer ESTABLISHED = new FinalAnswer(Kind.STANDS, 0, Reason.NONE);
 }
--- a/core/src/main/java/coveladder/core/LoadReports.java
+++ b/core/src/main/java/coveladder/core/LoadReports.java
@@ -5,21 +5,21 @@
 import java.util.Map;
 
 /**
- * The latest load figures of each exchange, each for as long as its report holds good (RFC 7339
- * section 4.3). Whatever is not told, or no longer holds, is NaN.
+ * The latest load report of each exchange, used until its validity expires (RFC 7339 section 4.3).
+ * A figure that was not reported or is no longer valid is NaN.
  */
 public final class LoadReports {
-  private final Map<String, Report> held = new HashMap<>();
+  private final Map<String, Report> latest = new HashMap<>();
 
   /**
-   * Figures that an exchange reported.
+   * Load figures that an exchange reported.
    *
-   * @param requestedReduction share of set-ups that senders should hold back; NaN if not told
-   * @param maxSetupRate set-ups a second that it can take; NaN if not told
-   * @param utilization busy share of its processor; NaN if not told
-   * @param queued messages waiting there; NaN if not told
-   * @param sequence order among reports of one exchange
-   * @param validUntil clock until which it holds, ms
+   * @param requestedReduction share of set-ups that senders should hold back; NaN if not reported
+   * @param maxSetupRate set-ups per second that it can accept; NaN if not reported
+   * @param utilization busy share of its processor; NaN if not reported
+   * @param queued messages that wait for its processor; NaN if not reported
+   * @param sequence orders the reports of one exchange
+   * @param validUntil clock at which the report expires, ms
    */
   public record Report(
       double requestedReduction,
@@ -29,26 +29,26 @@
       double sequence,
       double validUntil) {}
 
-  /** Takes a report in unless a newer one is held. */
+  /** Stores a report unless a newer one of the same exchange is present. */
   public void update(String exchange, Report report) {
-    Report before = held.get(exchange);
-    if (before == null || report.sequence() >= before.sequence()) {
-      held.put(exchange, report);
+    Report previous = latest.get(exchange);
+    if (previous == null || report.sequence() >= previous.sequence()) {
+      latest.put(exchange, report);
     }
   }
 
-  /** All that is known of the way to an exchange now. */
+  /** The known load figures of an exchange and of the circuit group toward it; null: no group. */
   public Load load(String exchange, CircuitGroups.Group group, double now) {
-    Report report = held.get(exchange);
-    boolean good = report != null && now < report.validUntil();
+    Report report = latest.get(exchange);
+    boolean valid = report != null && now < report.validUntil();
     return new Load(
         group == null ? Double.NaN : group.free(),
         group == null ? Double.NaN : group.size(),
         Double.NaN,
-        good ? report.queued() : Double.NaN,
-        good ? report.utilization() : Double.NaN,
+        valid ? report.queued() : Double.NaN,
+        valid ? report.utilization() : Double.NaN,
         Double.NaN,
-        good ? report.maxSetupRate() : Double.NaN,
-        good ? report.requestedReduction() : Double.NaN);
+        valid ? report.maxSetupRate() : Double.NaN,
+        valid ? report.requestedReduction() : Double.NaN);
   }
 }
--- a/core/src/main/java/coveladder/core/Scheduler.java
+++ b/core/src/main/java/coveladder/core/Scheduler.java
@@ -1,17 +1,17 @@
 package coveladder.core;
 
-/** Time, as handed in by the world: the core reads no clock and starts no thread of its own. */
+/** The clock and timers of the core, which reads no system clock and starts no thread itself. */
 public interface Scheduler {
 
-  /** The clock in milliseconds; it never steps back. */
+  /** The monotonic clock, in milliseconds. */
   double now();
 
-  /** Runs a task once after a delay in milliseconds, never within this call. */
+  /** Runs the task once after a delay in milliseconds, never during this call. */
   Timer schedule(double delayMillis, Runnable task);
 
-  /** Stops a timer; without effect once it ran. */
+  /** A pending timer. */
   interface Timer {
-    /** Stops it. */
+    /** Cancels the timer; has no effect once its task has run. */
     void cancel();
   }
 }
--- a/core/src/main/java/coveladder/core/Signalling.java
+++ b/core/src/main/java/coveladder/core/Signalling.java
@@ -1,38 +1,42 @@
 package coveladder.core;
 
 /**
- * What the core asks of the protocol front. Nothing here may call back into the {@link
- * CallController} before it returns; what happens at once is told by a later event.
+ * What the core requests from the protocol front end. No method may call back into the {@link
+ * CallController} before it returns; an immediate result is reported by a later event.
  */
 public interface Signalling {
 
   /**
-   * Sends a set-up. From now on the front owes exactly one {@link CallController#attemptEnded}, and
-   * before it at most one {@link CallController#attemptAnswered}.
+   * Sends a set-up. The front end must report exactly one {@link CallController#attemptEnded} for
+   * it, preceded by at most one {@link CallController#attemptAnswered}.
    */
   void startAttempt(AttemptRequest request);
 
-  /** Calls an attempt off. It is over only when the front says so. */
+  /** Cancels an attempt. It ends only when the front end reports its end. */
   void cancelAttempt(String call, int attempt);
 
-  /** Ends an attempt that stands, or one whose late answer crossed the call's end. */
+  /** Releases an established attempt, or one whose late answer crossed the end of the call. */
   void releaseAttempt(String call, int attempt);
 
-  /** Gives the caller its one final answer. */
+  /** Sends the caller its one final answer. */
   void answer(String call, FinalAnswer answer);
 
-  /** The answered call is over for the caller: the far end left, or it was cut. */
+  /**
+   * Releases the caller of an established call.
+   *
+   * @param disconnected whether the call was cut off; otherwise the remote end released it
+   */
   void releaseCaller(String call, boolean disconnected);
 
-  /** Asks an exchange for its load. */
+  /** Requests a load report from an exchange; {@code sentAt} is the clock at this moment, ms. */
   void probe(ExchangeDirectory.Entry exchange, double sentAt);
 
   /** Sends a message to all other controllers. */
   void broadcast(byte[] payload);
 
-  /** Asks for the changes of the exchange list. */
+  /** Subscribes to changes of the exchange directory. */
   void subscribeToDirectory();
 
-  /** A timer is wanted. */
+  /** The clock and timers of the event loop. */
   Scheduler scheduler();
 }
--- a/core/src/main/java/coveladder/core/TrackedCall.java
+++ b/core/src/main/java/coveladder/core/TrackedCall.java
@@ -3,96 +3,96 @@
 import coveladder.CallPolicy.Call;
 import coveladder.CallPolicy.Reason;
 
-/** A call that this controller has taken and not yet let go. */
+/** A call that this controller has accepted and not yet removed. */
 public final class TrackedCall {
   private final Call call;
   private final double acceptedAt;
   private int attemptCount;
-  private Attempt current;
-  private boolean isAnswered;
-  private boolean isEstablished;
-  private double lastUnsure = Double.NEGATIVE_INFINITY;
+  private Attempt currentAttempt;
+  private boolean answered;
+  private boolean established;
+  private double lastUncertainEnd = Double.NEGATIVE_INFINITY;
   private Reason lastReason = Reason.NONE;
-  private Scheduler.Timer deadline;
+  private Scheduler.Timer patienceTimer;
 
-  TrackedCall(Call call, double taken) {
+  TrackedCall(Call call, double acceptedAt) {
     this.call = call;
-    this.acceptedAt = taken;
+    this.acceptedAt = acceptedAt;
   }
 
-  /** One set-up of the call that is not over. */
+  /** A set-up of the call that has not ended. */
   static final class Attempt {
     final int number;
-    final ExchangeDirectory.Entry first;
-    final double sent;
-    Scheduler.Timer limit;
-    Ending ending = Ending.OPEN;
+    final ExchangeDirectory.Entry exchange;
+    final double sentAt;
+    Scheduler.Timer timeout;
+    LocalEnding ending = LocalEnding.NONE;
 
-    Attempt(int number, ExchangeDirectory.Entry first, double sent) {
+    Attempt(int number, ExchangeDirectory.Entry exchange, double sentAt) {
       this.number = number;
-      this.first = first;
-      this.sent = sent;
+      this.exchange = exchange;
+      this.sentAt = sentAt;
     }
 
-    void stopLimit() {
-      if (limit != null) {
-        limit.cancel();
+    void cancelTimeout() {
+      if (timeout != null) {
+        timeout.cancel();
       }
     }
   }
 
-  /** What this controller itself did to end an attempt. */
-  enum Ending {
-    /** Nothing. */
-    OPEN,
-    /** Its time limit ran out. */
+  /** How this controller itself ended an attempt. */
+  enum LocalEnding {
+    /** Not ended by this controller. */
+    NONE,
+    /** Its time limit expired. */
     TIMED_OUT,
-    /** It was called off. */
+    /** It was cancelled. */
     CANCELLED
   }
 
-  /** The call as the module was told. */
+  /** The call as reported to the policy. */
   public Call call() {
     return call;
   }
 
-  /** What is left of the caller's patience, ms. */
+  /** Time until the caller's patience ends, ms. */
   public double patienceLeft(double now) {
     return Math.max(0, acceptedAt + call.patience() - now);
   }
 
-  /** Whether an attempt is out, or stands. */
+  /** Whether an attempt is outstanding or established. */
   public boolean hasAttempt() {
-    return current != null;
+    return currentAttempt != null;
   }
 
-  /** Clock when it was taken, ms. */
+  /** Clock at which the call was accepted, ms. */
   public double acceptedAt() {
     return acceptedAt;
   }
 
-  /** Whether the final answer was given, or none is owed any more. */
+  /** Whether the final answer was given or is no longer due. */
   public boolean isAnswered() {
-    return isAnswered;
+    return answered;
   }
 
-  /** Whether it stands. */
+  /** Whether the call is established. */
   public boolean isEstablished() {
-    return isEstablished;
+    return established;
   }
 
-  /** Number of set-ups so far. */
+  /** Number of attempts so far, skipped ones included. */
   public int attemptCount() {
     return attemptCount;
   }
 
-  /** Clock at which an attempt last ended without word of what became of it. */
-  double lastUnsure() {
-    return lastUnsure;
+  /** Clock at which an attempt last ended with its effect unknown, ms; minus infinity if none. */
+  double lastUncertainEnd() {
+    return lastUncertainEnd;
   }
 
-  Attempt current() {
-    return current;
+  Attempt currentAttempt() {
+    return currentAttempt;
   }
 
   Reason lastReason() {
@@ -103,35 +103,35 @@
     return attemptCount++;
   }
 
-  void begin(Attempt attempt) {
-    current = attempt;
+  void attemptStarted(Attempt attempt) {
+    currentAttempt = attempt;
   }
 
-  void attemptOver(boolean unsure, Reason reason, double now) {
-    current = null;
+  void attemptEnded(boolean uncertain, Reason reason, double now) {
+    currentAttempt = null;
     lastReason = reason;
-    if (unsure) {
-      lastUnsure = now;
+    if (uncertain) {
+      lastUncertainEnd = now;
     }
   }
 
-  void answer(boolean stands) {
-    isAnswered = true;
-    isEstablished = stands;
-    if (deadline != null) {
-      deadline.cancel();
+  void markAnswered(boolean isEstablished) {
+    answered = true;
+    established = isEstablished;
+    if (patienceTimer != null) {
+      patienceTimer.cancel();
     }
   }
 
-  /** Holds a call again that stood before a restart, with the attempt that it stands by. */
-  void resume(Attempt stands) {
-    attemptCount = stands.number + 1;
-    current = stands;
-    isAnswered = true;
-    isEstablished = true;
+  /** Restores a call that was established before a restart, with its answered attempt. */
+  void restoreEstablished(Attempt answeredAttempt) {
+    attemptCount = answeredAttempt.number + 1;
+    currentAttempt = answeredAttempt;
+    answered = true;
+    established = true;
   }
 
-  void deadline(Scheduler.Timer timer) {
-    deadline = timer;
+  void patienceTimer(Scheduler.Timer timer) {
+    patienceTimer = timer;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -4,31 +4,34 @@
 import coveladder.core.FinalAnswer;
 import java.util.function.Consumer;
 
-/** What recovery needs of the protocol front: legs as octets, and legs made from octets again. */
+/**
+ * What recovery needs from the protocol front end: the legs of a call encoded as octets, and legs
+ * restored from them. A call has two legs, one toward the caller and one toward the exchange.
+ */
 public interface CallLegs {
 
-  /** The caller's leg as it is now. */
+  /** Encodes the present state of the caller's leg. */
   byte[] encodeCallerLeg(String call);
 
-  /** Makes an attempt ready, with all its names, without sending it; its leg as octets. */
+  /** Prepares an attempt with all its identifiers, without sending it, and encodes its leg. */
   byte[] prepareAttempt(AttemptRequest request);
 
-  /** The leg of the attempt that was answered. */
+  /** Encodes the leg of the answered attempt. */
   byte[] encodeAttemptLeg(String call);
 
-  /** A leg that was kept, with what has changed since. */
+  /** Updates an encoded leg with what has changed since; returns the new encoding. */
   byte[] updateLeg(String call, boolean callerSide, byte[] encodedLeg);
 
-  /** Whether an end of a call was told of its release and has not answered that. */
+  /** Whether a release of the call was sent that its receiver has not answered yet. */
   boolean isReleasing(String call);
 
-  /** Makes the caller's 2xx ready, so that its leg can be kept with it. */
+  /** Prepares the caller's 2xx, so that the encoded leg includes it. */
   void prepareSuccess(String call);
 
-  /** A final answer other than 2xx as it will leave, so that it can leave again alike. */
+  /** Encodes a final answer other than 2xx as it will be sent, so that it can be sent again. */
   byte[] encodeFinalAnswer(String call, FinalAnswer answer);
 
-  /** Clock that goes on across restarts, ms; it may have been set since the one before. */
+  /** A clock that continues across restarts, ms; it may have been set in the meantime. */
   long wallClockMillis();
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -42,41 +45,45 @@
    */
   void resume(SavedCall saved, boolean answerDue, int incarnation);
 
-  /** Asks one end of a resumed call whether it still holds it. */
+  /** Asks one end of a restored call whether the call still exists there. */
   void verify(String call, boolean callerSide, Consumer<LegStatus> result);
 
-  /** Lets a resumed call go that one end does not hold any more. */
+  /** Releases a restored call that no longer exists at one end. */
   void releaseLost(String call, boolean callerSide);
 
-  /** Whether an end of a call holds it. */
+  /** Whether a call exists at one of its ends. */
   enum LegStatus {
-    /** It said so, or cannot be busy and gone at a time. */
+    /** The end confirmed it, or its answer implies that the call exists. */
     ACTIVE,
-    /** It does not know the call. */
+    /** The end does not know the call. */
     GONE,
-    /** No answer, or no way to it: it may be starting too. */
+    /** The end did not answer or could not be reached: it may be starting, too. */
     UNKNOWN
   }
 
-  /** Calls off the attempt that may be out; {@code over} runs once it is known to be over. */
+  /**
+   * Cancels an attempt that may have been sent.
+   *
+   * @param whenEnded runs once the attempt is known to have ended
+   */
   void cancelAfterRestart(SavedCall saved, Runnable whenEnded);
 
   /**
-   * Makes the caller's leg of a set-up that was cut short, so that repeats of its INVITE begin no
-   * second call; nothing is sent by that.
+   * Restores the caller's leg of an interrupted set-up without sending anything, so that a
+   * retransmission of its INVITE starts no second call.
    *
-   * @param whenCalledOff hears of its CANCEL, with what sends the answer to that
-   * @param whenRepeated hears of its INVITE coming again, which says that it waits
+   * @param whenCalledOff called on its CANCEL, with the task that sends the answer
+   * @param whenRepeated called when its INVITE arrives again, which shows that the caller waits
    */
   void restoreCallerLeg(
       SavedCall saved, Consumer<Runnable> whenCancelled, Runnable whenRetransmitted);
 
-  /** A final answer for the caller of a set-up that was cut short, as it will leave. */
+  /** Encodes a final answer for the caller of an interrupted set-up, as it will be sent. */
   byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer);
 
-  /** Answers once more a caller that had called off. */
+  /** Sends the final answer to a caller that had cancelled once more. */
   void answerCancelled(SavedCall saved);
 
-  /** Sends the final answer that is kept with a call to its expected caller. */
+  /** Sends the final answer that is stored with a call to its caller. */
   void resendFinalAnswer(SavedCall saved);
 }
--- a/core/src/main/java/coveladder/core/recovery/CallStore.java
+++ b/core/src/main/java/coveladder/core/recovery/CallStore.java
@@ -4,42 +4,47 @@
 import java.util.function.Consumer;
 
 /**
- * Where calls are kept. Changes take effect in their order; what was put is safe from a crash only
- * once a sync that was asked for later has ended well.
+ * The persistent store of calls. Changes take effect in order; a change survives a crash only once
+ * a sync requested after it has succeeded.
  */
 public interface CallStore {
 
-  /** Keeps a call, in place of what was kept under its id. */
+  /** Stores a call and replaces any record with the same id. */
   void put(SavedCall call);
 
-  /** Forgets a call. */
+  /** Removes a call. */
   void remove(String id);
 
   /**
-   * Tells, on the controller's thread and never within this call, once all changes so far are safe;
-   * false where the disk failed and they may not be.
+   * Requests a sync of all changes so far.
+   *
+   * @param whenSynced called on the controller's thread, never during this call: true once the
+   *     changes are durable, false if the disk failed and they may not be
    */
-  void sync(Consumer<Boolean> done);
+  void sync(Consumer<Boolean> whenSynced);
 
-  /** What was found when the store was opened. */
+  /** The contents of the store when it was opened. */
   Contents initialContents();
 
-  /** What was found behind has been set right by the changes so far: it is in step after them. */
+  /** Marks the store as up to date: the changes so far correct what was found out of date. */
   void markUpToDate();
 
   /**
-   * Names who puts everything once more when the store, after a failure, has begun anew and is
-   * empty; runs on the controller's thread.
+   * Sets the handler for a store that was recreated, empty, after a failure.
+   *
+   * @param rewriteAll stores all calls again; runs on the controller's thread
    */
   void onRecreated(Runnable rewriteAll);
 
   /**
-   * What a store held at its opening.
+   * The contents of a store at its opening.
    *
-   * @param calls calls that could be read
-   * @param damagedRecords what could not, each with its reason; it was set aside
-   * @param outOfDate whether calls had gone on unkept, so that what was found may be out of date
-   * @param incarnation how many times the store has been opened, this time included
+   * @param calls the calls that could be read
+   * @param damagedRecords the records that could not be read and were set aside, each with the
+   *     reason
+   * @param outOfDate whether calls continued without being persisted, so that the records may be
+   *     out of date
+   * @param incarnation number of times that the store has been opened, this time included
    */
   record Contents(
       List<SavedCall> calls, List<String> damagedRecords, boolean outOfDate, int incarnation) {}
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -13,279 +13,297 @@
 import java.util.Set;
 
 /**
- * Goes on after a restart with what the store held. Calls that stand are held again at once, which
- * sends nothing; set-ups that were cut short are called off and their callers answered; answers on
- * their way are sent once more. All that sends keeps to a pace.
+ * Continues after a restart with the contents of the store. Established calls are restored at once,
+ * which sends nothing, and verified later. Interrupted set-ups are cancelled and their callers
+ * answered; final answers that may not have arrived are sent again. Whatever sends is limited to
+ * the recovery rate.
  */
 public final class Recovery {
-  private static final int ASKED_MOST = 3;
-  private static final double ASK_AGAIN = 5_000;
+  private static final int MAX_VERIFICATIONS = 3;
+  private static final double VERIFICATION_RETRY_MILLIS = 5_000;
 
   private final CallController controller;
-  private final WriteAheadSignalling writeAhead;
+  private final WriteAheadSignalling signalling;
   private final CallStore store;
   private final CallLegs legs;
-  private final Scheduler clock;
-  private final RecoveryRate pace;
-  private final double unsureFor;
-  private final ArrayDeque<CutShort> urgent = new ArrayDeque<>();
-  private final ArrayDeque<Question> standing = new ArrayDeque<>();
-  private final Set<String> over = new HashSet<>();
-  private final Map<Phase, Integer> counts = new HashMap<>();
-  private boolean behind;
-  private int life;
-  private double begun;
-  private int outstanding;
-  private int unsettled;
+  private final Scheduler scheduler;
+  private final RecoveryRate rate;
+  private final double retransmissionWindowMillis;
+  private final ArrayDeque<InterruptedCall> interruptedCalls = new ArrayDeque<>();
+  private final ArrayDeque<Verification> verifications = new ArrayDeque<>();
+  private final Set<String> endedCalls = new HashSet<>();
+  private final Map<Phase, Integer> countsByPhase = new HashMap<>();
+  private boolean outOfDate;
+  private int incarnation;
+  private double startedAt;
+  private int outstandingCancels;
+  private int unfinishedVerifications;
   private int damagedRecords;
   private int answeredCallers;
   private int releasedCalls;
 
-  /** A call whose caller waits, or may. */
-  private static final class CutShort {
+  /** A call that was interrupted by the restart and whose caller may wait for its final answer. */
+  private static final class InterruptedCall {
     private SavedCall saved;
-    private boolean answering;
+    private boolean answerPending;
 
-    CutShort(SavedCall saved) {
+    InterruptedCall(SavedCall saved) {
       this.saved = saved;
     }
   }
 
-  /** An end of a call that is to be asked after, and how often it was. */
-  private record Question(String call, boolean ofCaller, int asked) {}
+  /** A question to one end of a call whether the call still exists there. */
+  private record Verification(String call, boolean callerSide, int requestsSent) {}
 
   /**
-   * Makes it; nothing happens before {@link #start}.
+   * Creates a recovery, which does nothing before {@link #start}.
    *
-   * @param unsureFor how long INVITEs of before can come again after a start, ms (64*T1)
+   * @param retransmissionWindowMillis time after a start during which INVITEs sent before it can be
+   *     retransmitted, ms (64*T1)
    */
   public Recovery(
       CallController controller,
-      WriteAheadSignalling writeAhead,
+      WriteAheadSignalling signalling,
       CallStore store,
       CallLegs legs,
-      Scheduler clock,
-      RecoveryRate pace,
-      double unsureFor) {
+      Scheduler scheduler,
+      RecoveryRate rate,
+      double retransmissionWindowMillis) {
     this.controller = controller;
-    this.writeAhead = writeAhead;
+    this.signalling = signalling;
     this.store = store;
     this.legs = legs;
-    this.clock = clock;
-    this.pace = pace;
-    this.unsureFor = unsureFor;
+    this.scheduler = scheduler;
+    this.rate = rate;
+    this.retransmissionWindowMillis = retransmissionWindowMillis;
   }
 
-  /** Holds again what stood and begins to end the rest. Before the controller takes new calls. */
+  /**
+   * Restores the established calls and starts to end all others. Must run before the controller
+   * accepts new calls.
+   */
   public void start() {
-    begun = clock.now();
-    CallStore.Contents found = store.initialContents();
-    damagedRecords = found.damagedRecords().size();
-    behind = found.outOfDate();
-    life = found.incarnation();
-    for (SavedCall saved : found.calls()) {
-      counts.merge(saved.phase(), 1, Integer::sum);
+    startedAt = scheduler.now();
+    CallStore.Contents contents = store.initialContents();
+    damagedRecords = contents.damagedRecords().size();
+    outOfDate = contents.outOfDate();
+    incarnation = contents.incarnation();
+    for (SavedCall saved : contents.calls()) {
+      countsByPhase.merge(saved.phase(), 1, Integer::sum);
       if (saved.phase() == Phase.STANDS) {
         resume(saved);
       } else {
-        expect(saved);
+        restoreInterrupted(saved);
       }
     }
-    if (behind) {
-      clock.schedule(unsureFor, store::markUpToDate);
+    if (outOfDate) {
+      scheduler.schedule(retransmissionWindowMillis, store::markUpToDate);
     }
-    clock.schedule(0, this::nextUrgent);
-    clock.schedule(pace.firstAfter(), this::nextStanding);
+    scheduler.schedule(0, this::processNextInterrupted);
+    scheduler.schedule(rate.verifyDelayMillis(), this::verifyNext);
   }
 
   private void resume(SavedCall saved) {
-    writeAhead.adopt(saved);
+    signalling.adopt(saved);
     controller.resume(saved.call(), saved.attempt(), saved.exchange());
-    legs.resume(saved, waitsStill(saved), life);
-    standing.add(new Question(saved.id(), true, 0));
-    standing.add(new Question(saved.id(), false, 0));
-    unsettled += 2;
+    legs.resume(saved, isCallerWaiting(saved), incarnation);
+    verifications.add(new Verification(saved.id(), true, 0));
+    verifications.add(new Verification(saved.id(), false, 0));
+    unfinishedVerifications += 2;
   }
 
-  /** However many wait, each caller is known from the first moment: its repeat is no new call. */
-  private void expect(SavedCall saved) {
-    CutShort waiting = new CutShort(behind ? saved.withoutDeadline() : saved);
-    if (behind) {
-      store.put(waiting.saved);
+  /** Restores the caller's leg at once, so that no retransmitted INVITE counts as a new call. */
+  private void restoreInterrupted(SavedCall saved) {
+    InterruptedCall interrupted = new InterruptedCall(outOfDate ? saved.withoutDeadline() : saved);
+    if (outOfDate) {
+      store.put(interrupted.saved);
     }
-    legs.restoreCallerLeg(saved, answer -> calledOff(waiting, answer), () -> asksAgain(waiting));
-    urgent.add(waiting);
+    legs.restoreCallerLeg(
+        saved,
+        sendAnswer -> callerCancelled(interrupted, sendAnswer),
+        () -> inviteRetransmitted(interrupted));
+    interruptedCalls.add(interrupted);
   }
 
-  /** The caller calls off; one that has its answer, or is getting it, gets no other. */
-  private void calledOff(CutShort waiting, Runnable answer) {
-    if (waiting.saved.hasAnswer() && !waiting.answering) {
-      legs.resendFinalAnswer(waiting.saved);
-    } else if (!waiting.saved.hasAnswer() && !waiting.saved.isCancelled()) {
-      waiting.saved = waiting.saved.cancelled();
-      keepThen(waiting.saved, answer);
+  /** The caller cancels; one that has its final answer, or is about to get it, gets no other. */
+  private void callerCancelled(InterruptedCall interrupted, Runnable sendAnswer) {
+    if (interrupted.saved.hasAnswer() && !interrupted.answerPending) {
+      legs.resendFinalAnswer(interrupted.saved);
+    } else if (!interrupted.saved.hasAnswer() && !interrupted.saved.isCancelled()) {
+      interrupted.saved = interrupted.saved.asCancelled();
+      persistThen(interrupted.saved, sendAnswer);
     }
   }
 
-  /** Out of date as its record may be, a caller that asks again has no answer. */
-  private void asksAgain(CutShort waiting) {
-    if (waiting.saved.deadline() == 0 && !waiting.saved.hasAnswer()) {
-      giveUp(waiting);
+  /** A caller that retransmits its INVITE has no answer, even if its record is out of date. */
+  private void inviteRetransmitted(InterruptedCall interrupted) {
+    if (interrupted.saved.deadline() == 0 && !interrupted.saved.hasAnswer()) {
+      refuseInterrupted(interrupted);
     }
   }
 
-  /** Keeps a call that may have been forgotten meanwhile only until its answer has left. */
-  private void keepThen(SavedCall saved, Runnable answer) {
-    if (over.contains(saved.id())) {
-      answer.run();
+  /** Persists a call before its answer is sent, unless it was removed from the store meanwhile. */
+  private void persistThen(SavedCall saved, Runnable sendAnswer) {
+    if (endedCalls.contains(saved.id())) {
+      sendAnswer.run();
     } else {
       store.put(saved);
-      store.sync(safe -> answer.run());
+      store.sync(persisted -> sendAnswer.run());
     }
   }
 
-  private double gap() {
-    ExchangeDirectory.Entry own =
+  private double intervalMillis() {
+    ExchangeDirectory.Entry local =
         controller.directory().byNumber(controller.settings().localExchange());
-    return pace.gap(clock.now(), own == null ? 0 : own.startedAt());
+    return rate.intervalMillis(scheduler.now(), local == null ? 0 : local.startedAt());
   }
 
-  // ---- Set-ups cut short, answers on their way ------------------------------------------------
+  // ---- Interrupted set-ups, answers in flight -------------------------------------------------
 
-  /** Set-ups cut short and answers on their way come first: their callers wait. */
-  private void nextUrgent() {
-    CutShort next = urgent.poll();
+  /** Ends one interrupted set-up or sends one answer again, and schedules the next. */
+  private void processNextInterrupted() {
+    InterruptedCall next = interruptedCalls.poll();
     if (next == null) {
       return;
     }
     if (next.saved.attempt() == SavedCall.NONE) {
-      answerAgain(next.saved);
+      resendIfWaiting(next.saved);
       store.remove(next.saved.id());
     } else {
-      cutShort(next);
+      endInterrupted(next);
     }
-    clock.schedule(gap(), this::nextUrgent);
+    scheduler.schedule(intervalMillis(), this::processNextInterrupted);
   }
 
   /**
-   * The attempt may or may not have left: it is called off as if it had. The caller is answered at
-   * once, if it is known to wait still; no second attempt is made for it, so none can be out beside
-   * the first. It stays in the store until the attempt is known to be over, for a crash meanwhile,
-   * and so does its answer: the next life must not give another.
+   * The attempt may or may not have been sent: it is cancelled as if it had. The caller is answered
+   * at once if it is known to wait. No second attempt is made, so that two are never outstanding
+   * together. The call and its answer stay in the store until the attempt is known to have ended:
+   * after a crash in the meantime, the next run must not give another answer.
    */
-  private void cutShort(CutShort waiting) {
-    outstanding++;
-    SavedCall saved = waiting.saved;
-    legs.cancelAfterRestart(saved, () -> attemptOver(saved.id()));
+  private void endInterrupted(InterruptedCall interrupted) {
+    outstandingCancels++;
+    SavedCall saved = interrupted.saved;
+    legs.cancelAfterRestart(saved, () -> attemptEnded(saved.id()));
     if (saved.hasAnswer()) {
-      answerAgain(saved);
+      resendIfWaiting(saved);
     } else if (saved.isCancelled()) {
       legs.answerCancelled(saved);
-    } else if (waitsStill(saved)) {
-      giveUp(waiting);
+    } else if (isCallerWaiting(saved)) {
+      refuseInterrupted(interrupted);
     }
   }
 
-  private void giveUp(CutShort waiting) {
+  private void refuseInterrupted(InterruptedCall interrupted) {
     answeredCallers++;
     FinalAnswer answer = new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE);
-    waiting.answering = true;
-    waiting.saved = waiting.saved.answered(legs.encodeInterruptedAnswer(waiting.saved, answer));
-    keepThen(waiting.saved, () -> legs.resendFinalAnswer(waiting.saved));
+    interrupted.answerPending = true;
+    interrupted.saved =
+        interrupted.saved.withAnswer(legs.encodeInterruptedAnswer(interrupted.saved, answer));
+    persistThen(interrupted.saved, () -> legs.resendFinalAnswer(interrupted.saved));
   }
 
-  /** An answer that may not have left leaves late nowhere: a caller that had it needs no other. */
-  private void answerAgain(SavedCall saved) {
-    if (waitsStill(saved)) {
+  /**
+   * Sends an answer that may not have been sent, but never late: the caller may already have it.
+   */
+  private void resendIfWaiting(SavedCall saved) {
+    if (isCallerWaiting(saved)) {
       legs.resendFinalAnswer(saved);
     }
   }
 
   /**
-   * Only a caller that waits still may get an answer: one that left would get it late. Whether it
-   * had a 2xx that was about to leave is found by asking after the call.
+   * Whether the caller is known to wait. Only then may it get an answer: one that has left would
+   * get it late. Whether a 2xx that was about to be sent arrived is found by verifying the call.
    *
-   * <p>A store that is behind may call a set-up what has been answered since: a second answer must
-   * not go out, nor after the next crash, when the store is in step again. A deadline further away
-   * than the whole patience says that the clock was set back.
+   * <p>A store that is out of date may record as a pending set-up a call that has been answered
+   * since. It must not be answered a second time, neither now nor after the next crash, when the
+   * store is up to date again. A deadline further away than the caller's whole patience means that
+   * the clock was set back.
    */
-  private boolean waitsStill(SavedCall saved) {
-    long left = saved.deadline() - legs.wallClockMillis();
-    return !behind && left > 0 && left <= saved.call().patience() + 1;
+  private boolean isCallerWaiting(SavedCall saved) {
+    long patienceLeft = saved.deadline() - legs.wallClockMillis();
+    return !outOfDate && patienceLeft > 0 && patienceLeft <= saved.call().patience() + 1;
   }
 
-  private void attemptOver(String id) {
-    outstanding--;
-    over.add(id);
+  private void attemptEnded(String id) {
+    outstandingCancels--;
+    endedCalls.add(id);
     store.remove(id);
   }
 
-  // ---- Calls that stand -----------------------------------------------------------------------
+  // ---- Established calls ----------------------------------------------------------------------
 
-  /** Asks after calls that stood, one by one: their ends may have left while nobody listened. */
-  private void nextStanding() {
-    Question next = standing.poll();
+  /** Verifies the next established call: its ends may have left while the controller was down. */
+  private void verifyNext() {
+    Verification next = verifications.poll();
     if (next != null) {
-      ask(next);
-      clock.schedule((urgent.isEmpty() ? 1 : 2) * gap() / 2, this::nextStanding);
+      verify(next);
+      scheduler.schedule(
+          (interruptedCalls.isEmpty() ? 1 : 2) * intervalMillis() / 2, this::verifyNext);
     }
   }
 
-  private void ask(Question question) {
-    if (controller.call(question.call()) == null) {
-      unsettled--;
+  private void verify(Verification verification) {
+    if (controller.call(verification.call()) == null) {
+      unfinishedVerifications--;
     } else {
-      legs.verify(question.call(), question.ofCaller(), held -> told(question, held));
+      legs.verify(
+          verification.call(), verification.callerSide(), status -> verified(verification, status));
     }
   }
 
-  private void told(Question question, CallLegs.LegStatus held) {
-    boolean isOver = controller.call(question.call()) == null;
-    boolean again = held == CallLegs.LegStatus.UNKNOWN && question.asked() + 1 < ASKED_MOST;
-    if (isOver || held == CallLegs.LegStatus.ACTIVE) {
-      unsettled--;
-    } else if (again) {
-      Question next = new Question(question.call(), question.ofCaller(), question.asked() + 1);
-      clock.schedule(ASK_AGAIN * next.asked(), () -> ask(next));
+  private void verified(Verification verification, CallLegs.LegStatus status) {
+    boolean ended = controller.call(verification.call()) == null;
+    boolean retry =
+        status == CallLegs.LegStatus.UNKNOWN && verification.requestsSent() + 1 < MAX_VERIFICATIONS;
+    if (ended || status == CallLegs.LegStatus.ACTIVE) {
+      unfinishedVerifications--;
+    } else if (retry) {
+      Verification next =
+          new Verification(
+              verification.call(), verification.callerSide(), verification.requestsSent() + 1);
+      scheduler.schedule(VERIFICATION_RETRY_MILLIS * next.requestsSent(), () -> verify(next));
     } else {
-      unsettled--;
+      unfinishedVerifications--;
       releasedCalls++;
-      legs.releaseLost(question.call(), question.ofCaller());
+      legs.releaseLost(verification.call(), verification.callerSide());
     }
   }
 
-  // ---- Figures --------------------------------------------------------------------------------
+  // ---- Status ---------------------------------------------------------------------------------
 
   /**
-   * Whether a call that comes may be one of before that was not kept, with an attempt out. The
-   * store stays marked as behind for that long, so that a crash meanwhile changes nothing of it.
+   * Whether an arriving call may be one from before the restart that was not persisted and has an
+   * outstanding attempt. The store stays marked as out of date for that long, so that a crash in
+   * the meantime does not lose this knowledge.
    */
   public boolean mayMissPendingCalls() {
-    return behind && clock.now() < begun + unsureFor;
+    return outOfDate && scheduler.now() < startedAt + retransmissionWindowMillis;
   }
 
-  /** Calls found in a phase. */
+  /** Number of calls that the store held in a phase. */
   public int recoveredIn(Phase phase) {
-    return counts.getOrDefault(phase, 0);
+    return countsByPhase.getOrDefault(phase, 0);
   }
 
-  /** Records that could not be read and were set aside. */
+  /** Number of records that could not be read and were set aside. */
   public int damagedRecords() {
     return damagedRecords;
   }
 
-  /** Callers of set-ups cut short that were answered. */
+  /** Number of callers of interrupted set-ups that were answered. */
   public int answeredCallers() {
     return answeredCallers;
   }
 
-  /** Calls released because an end did not hold them any more. */
+  /** Number of calls released because they no longer existed at one end. */
   public int releasedCalls() {
     return releasedCalls;
   }
 
-  /** Whether all is done: nothing waits to be called off, answered or asked after. */
+  /** Whether recovery is complete: no call waits to be cancelled, answered or verified. */
   public boolean isComplete() {
-    return urgent.isEmpty() && unsettled == 0 && outstanding == 0;
+    return interruptedCalls.isEmpty() && unfinishedVerifications == 0 && outstandingCancels == 0;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
+++ b/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
@@ -1,29 +1,30 @@
 package coveladder.core.recovery;
 
 /**
- * How fast recovery may send. It begins at its budget; while the own processor is cold it gets the
- * share of the budget that such a processor can do, and each time that processor turns something
- * away it halves, down to a tenth, and grows back. So a region that comes back together neither
- * pushes over what has just started nor takes the processors from new calls.
+ * The rate at which recovery may send. It starts at its budget. While the local processor is cold,
+ * recovery gets only the share of the budget that matches the processor's capacity. Each time that
+ * processor rejects something, the rate is halved, down to a tenth of the budget, and then grows
+ * back. A region whose exchanges all restart together thus neither overloads processors that have
+ * just started nor takes their capacity from new calls.
  */
 public final class RecoveryRate {
-  private static final double LEAST = 0.1;
-  private static final double REGROWTH = 10_000;
+  private static final double MIN_SHARE = 0.1;
+  private static final double FULL_REGROWTH_MILLIS = 10_000;
 
   private final Budget budget;
-  private final double coldFrom;
-  private final double coldRamp;
-  private double allowed = 1;
+  private final double coldShare;
+  private final double rampTimeMillis;
+  private double share = 1;
   private double changedAt;
 
   /**
-   * How much recovery may send.
+   * The limits of recovery traffic.
    *
-   * @param callsPerSecond calls a second that are called off, answered again or asked after
-   * @param verifyDelayMillis time until the first is asked after, ms: peers come back too
+   * @param callsPerSecond calls per second that are cancelled, answered again or verified
+   * @param verifyDelayMillis time until the first call is verified, ms: peers restart, too
    */
   public record Budget(double callsPerSecond, double verifyDelayMillis) {
-    /** Checks the figures. */
+    /** Checks that the values are in range. */
     public Budget {
       if (!(callsPerSecond > 0) || !(verifyDelayMillis >= 0)) {
         throw new IllegalArgumentException(
@@ -37,45 +38,45 @@
   }
 
   /**
-   * Makes a pace.
+   * Creates a rate.
    *
-   * @param coldFrom share of its work that a processor can do right after its start
-   * @param coldRamp time until it can do all of it, ms
+   * @param coldShare share of its capacity at which a processor starts
+   * @param rampTimeMillis time from its start until a processor has its full capacity, ms
    */
-  public RecoveryRate(Budget budget, double coldFrom, double coldRamp) {
+  public RecoveryRate(Budget budget, double coldShare, double rampTimeMillis) {
     this.budget = budget;
-    this.coldFrom = coldFrom;
-    this.coldRamp = coldRamp;
+    this.coldShare = coldShare;
+    this.rampTimeMillis = rampTimeMillis;
   }
 
-  /** Time until the first standing call is asked after, ms. */
-  double firstAfter() {
+  /** Time until the first established call is verified, ms. */
+  double verifyDelayMillis() {
     return budget.verifyDelayMillis();
   }
 
-  /** The own processor turned something away. */
+  /** The local processor rejected something: halves the rate. */
   public void rejectedByProcessor(double now) {
-    allowed = Math.max(LEAST, allowed(now) / 2);
+    share = Math.max(MIN_SHARE, share(now) / 2);
     changedAt = now;
   }
 
-  private double allowed(double now) {
-    return Math.min(1, allowed + (now - changedAt) / REGROWTH);
+  private double share(double now) {
+    return Math.min(1, share + (now - changedAt) / FULL_REGROWTH_MILLIS);
   }
 
   /**
-   * Time from one call to the next, ms.
+   * The interval between two calls, ms.
    *
-   * @param started when the own processor started, clock ms; 0 where it has been warm for long
+   * @param startedAt clock at which the local processor started, ms; 0: long ago
    */
-  double gap(double now, double started) {
-    return 1000 / (budget.callsPerSecond() * allowed(now) * warmth(now, started));
+  double intervalMillis(double now, double startedAt) {
+    return 1000 / (budget.callsPerSecond() * share(now) * capacityShare(now, startedAt));
   }
 
-  private double warmth(double now, double started) {
-    if (started <= 0 || coldRamp <= 0 || now - started >= coldRamp) {
+  private double capacityShare(double now, double startedAt) {
+    if (startedAt <= 0 || rampTimeMillis <= 0 || now - startedAt >= rampTimeMillis) {
       return 1;
     }
-    return coldFrom + (1 - coldFrom) * Math.max(0, now - started) / coldRamp;
+    return coldShare + (1 - coldShare) * Math.max(0, now - startedAt) / rampTimeMillis;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/SavedCall.java
+++ b/core/src/main/java/coveladder/core/recovery/SavedCall.java
@@ -4,18 +4,18 @@
 import java.util.Arrays;
 
 /**
- * What is kept of one call, enough to go on with it or to end it after a restart. What the legs are
- * is the front's matter: the core keeps their octets unread.
+ * The persistent record of one call, sufficient to continue or end it after a restart. The legs are
+ * encoded by the protocol front end; the core stores their octets without reading them.
  *
- * @param call the call as the policy was told
- * @param phase how far it is
- * @param attempt number of the attempt that is out or stands; {@link #NONE}: none is
- * @param exchange id of the exchange that it was sent to
- * @param callerLeg the caller's leg, as the front wrote it
- * @param attemptLeg the attempt's leg, as the front wrote it
- * @param answer the final answer other than 2xx, as the front wrote it; empty if there is none
- * @param deadline clock at which the caller's patience ends, ms; 0: it is not known to wait; -1: it
- *     has called off
+ * @param call the call as reported to the policy
+ * @param phase progress of the call
+ * @param attempt number of the outstanding or answered attempt; {@link #NONE} if there is none
+ * @param exchange id of the exchange that the attempt was sent to
+ * @param callerLeg the encoded caller's leg
+ * @param attemptLeg the encoded leg of the attempt
+ * @param answer the encoded final answer other than 2xx; empty if there is none
+ * @param deadline wall clock at which the caller's patience ends, ms; 0: the caller is not known to
+ *     wait; -1: it has cancelled
  */
 public record SavedCall(
     Call call,
@@ -27,47 +27,48 @@
     byte[] answer,
     long deadline) {
 
-  /** Stands for the number of an attempt where none is out. */
+  /** The attempt number of a call without an outstanding or answered attempt. */
   public static final int NONE = -1;
 
   private static final long CALLED_OFF = -1;
 
-  /** How far a call is; a call without any attempt is not kept, as nothing of it is anywhere. */
+  /** Progress of a call. A call without any attempt has no external effect and is not stored. */
   public enum Phase {
-    /** An attempt went out or was about to; the caller has no answer. */
+    /** An attempt was sent or about to be sent; the caller has no final answer. */
     SETTING_UP,
-    /** An attempt was answered: the caller has its 2xx or is owed it. */
+    /** An attempt was answered: the caller has its 2xx, or it is due. */
     STANDS,
-    /** The caller has its final answer other than 2xx or is owed it. */
+    /** The caller has its final answer other than 2xx, or it is due. */
     ANSWERED
   }
 
-  /** The call's id. */
+  /** Id of the call. */
   public String id() {
     return call.id();
   }
 
-  /** Whether its caller had a final answer, or was about to get it. */
+  /** Whether a final answer other than 2xx was sent or about to be sent. */
   boolean hasAnswer() {
     return answer.length > 0;
   }
 
-  /** The same with the final answer that its caller gets. */
-  SavedCall answered(byte[] given) {
-    return new SavedCall(call, phase, attempt, exchange, callerLeg, attemptLeg, given, deadline);
+  /** A copy with the encoded final answer that the caller gets. */
+  SavedCall withAnswer(byte[] finalAnswer) {
+    return new SavedCall(
+        call, phase, attempt, exchange, callerLeg, attemptLeg, finalAnswer, deadline);
   }
 
-  /** Whether the caller had called off. */
+  /** Whether the caller had cancelled. */
   public boolean isCancelled() {
     return deadline == CALLED_OFF;
   }
 
-  /** The same, called off by its caller. */
-  SavedCall cancelled() {
+  /** A copy that is marked as cancelled by its caller. */
+  SavedCall asCancelled() {
     return new SavedCall(call, phase, attempt, exchange, callerLeg, attemptLeg, answer, CALLED_OFF);
   }
 
-  /** The same, with a caller that is not known to wait. */
+  /** A copy whose caller is not known to wait. */
   SavedCall withoutDeadline() {
     return new SavedCall(call, phase, attempt, exchange, callerLeg, attemptLeg, answer, 0);
   }
--- a/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -14,125 +14,126 @@
 import java.util.Map;
 
 /**
- * Stands between the core and the front and sees that what must survive a restart is safe before it
- * shows on the wire: a set-up before it leaves, a final answer before the caller gets it. All other
- * changes go to the store without waiting; docs/restart.md argues each crash point.
+ * Write-ahead logging between the core and the protocol front end: whatever must survive a restart
+ * is durable before it is visible on the wire, a set-up before it is sent and a final answer before
+ * the caller gets it. All other changes go to the store without waiting; docs/restart.md discusses
+ * each crash point.
  *
- * <p>A disk that fails does not stop calls: acts go on unkept, and are counted.
+ * <p>A failing disk does not stop calls: their actions proceed unpersisted and are counted.
  */
 public final class WriteAheadSignalling implements Signalling {
-  private final Signalling front;
+  private final Signalling delegate;
   private final CallLegs legs;
   private final CallStore store;
-  private final Scheduler clock;
-  private final double answeredKept;
-  private final Map<String, Kept> kept = new HashMap<>();
-  private CallController setController;
+  private final Scheduler scheduler;
+  private final double answerRetentionMillis;
+  private final Map<String, Entry> entries = new HashMap<>();
+  private CallController controller;
   private long unpersistedActions;
 
-  /** What is kept of a call, and what of it still waits for the disk. */
-  private static final class Kept {
+  /** The stored record of a call, and which of its changes still wait for the disk. */
+  private static final class Entry {
     private SavedCall saved;
-    private int waiting = -1;
-    private boolean calledOff;
-    private boolean ended;
+    private int unsyncedAttempt = -1;
+    private boolean attemptCancelled;
+    private boolean callRemoved;
 
-    Kept(SavedCall saved) {
+    Entry(SavedCall saved) {
       this.saved = saved;
     }
   }
 
   /**
-   * Makes it.
+   * Creates the write-ahead layer.
    *
-   * @param answeredKept how long a final answer other than 2xx is kept, for repeats of its INVITE,
-   *     ms (64*T1)
+   * @param answerRetentionMillis time for which a final answer other than 2xx is stored, for
+   *     retransmissions of its INVITE, ms (64*T1)
    */
   public WriteAheadSignalling(
-      Signalling front, CallLegs legs, CallStore store, double answeredKept) {
-    this.front = front;
+      Signalling delegate, CallLegs legs, CallStore store, double answerRetentionMillis) {
+    this.delegate = delegate;
     this.legs = legs;
     this.store = store;
-    this.clock = front.scheduler();
-    this.answeredKept = answeredKept;
-    store.onRecreated(this::putAll);
+    this.scheduler = delegate.scheduler();
+    this.answerRetentionMillis = answerRetentionMillis;
+    store.onRecreated(this::rewriteAll);
   }
 
-  /** The store failed and works again: all that is kept goes to it once more. */
-  private void putAll() {
-    kept.values().forEach(entry -> store.put(entry.saved));
+  /** Stores all records again after the store failed and was recreated. */
+  private void rewriteAll() {
+    entries.values().forEach(entry -> store.put(entry.saved));
   }
 
-  /** Names the controller, which hears of attempts that were called off before they left. */
-  public void setController(CallController driven) {
-    setController = driven;
+  /** Sets the controller, which is notified of attempts that were cancelled before being sent. */
+  public void setController(CallController callController) {
+    controller = callController;
   }
 
-  /** Acts that went on although the disk had failed. */
+  /** Number of actions that proceeded although the disk had failed. */
   public long unpersistedActions() {
     return unpersistedActions;
   }
 
-  /** Calls kept. */
+  /** Number of stored calls. */
   public int persistedCallCount() {
-    return kept.size();
+    return entries.size();
   }
 
-  /** A call that was found in the store and is held again. */
+  /** Takes over the record of a call that was found in the store and is tracked again. */
   void adopt(SavedCall saved) {
-    kept.put(saved.id(), new Kept(saved));
+    entries.put(saved.id(), new Entry(saved));
   }
 
   // ---- Set-ups ------------------------------------------------------------------------------
 
   @Override
-  public void startAttempt(AttemptRequest order) {
-    TrackedCall held = setController.call(order.call());
-    byte[] leg = legs.prepareAttempt(order);
-    long deadline = legs.wallClockMillis() + Math.round(held.patienceLeft(clock.now()));
+  public void startAttempt(AttemptRequest request) {
+    TrackedCall tracked = controller.call(request.call());
+    byte[] leg = legs.prepareAttempt(request);
+    long deadline = legs.wallClockMillis() + Math.round(tracked.patienceLeft(scheduler.now()));
     SavedCall saved =
         new SavedCall(
-            held.call(),
+            tracked.call(),
             Phase.SETTING_UP,
-            order.attempt(),
-            order.nextExchange().id(),
-            legs.encodeCallerLeg(order.call()),
+            request.attempt(),
+            request.nextExchange().id(),
+            legs.encodeCallerLeg(request.call()),
             leg,
             new byte[0],
             deadline);
-    Kept entry = kept.computeIfAbsent(order.call(), id -> new Kept(saved));
+    Entry entry = entries.computeIfAbsent(request.call(), id -> new Entry(saved));
     entry.saved = saved;
-    entry.waiting = order.attempt();
-    entry.calledOff = false;
+    entry.unsyncedAttempt = request.attempt();
+    entry.attemptCancelled = false;
     store.put(saved);
-    whenSafe(() -> safeToStart(order, entry));
+    afterSync(() -> startSyncedAttempt(request, entry));
   }
 
-  /** Acts once all that was put is safe, or cannot be made so, which is counted. */
-  private void whenSafe(Runnable act) {
+  /** Runs the action once all changes so far are durable, or the disk has failed, which counts. */
+  private void afterSync(Runnable action) {
     store.sync(
-        safe -> {
-          unpersistedActions += safe ? 0 : 1;
-          act.run();
+        persisted -> {
+          unpersistedActions += persisted ? 0 : 1;
+          action.run();
         });
   }
 
-  private void safeToStart(AttemptRequest order, Kept entry) {
-    entry.waiting = -1;
-    if (entry.calledOff) {
-      setController.attemptEnded(order.call(), order.attempt(), Outcome.CANCELLED, Reason.NONE, 0);
+  private void startSyncedAttempt(AttemptRequest request, Entry entry) {
+    entry.unsyncedAttempt = -1;
+    if (entry.attemptCancelled) {
+      controller.attemptEnded(request.call(), request.attempt(), Outcome.CANCELLED, Reason.NONE, 0);
     } else {
-      front.startAttempt(order);
+      delegate.startAttempt(request);
     }
   }
 
   @Override
   public void cancelAttempt(String call, int attempt) {
-    Kept entry = kept.get(call);
-    if (entry != null && entry.waiting == attempt) {
-      entry.calledOff = true;
+    Entry entry = entries.get(call);
+    if (entry != null && entry.unsyncedAttempt == attempt) {
+      entry.attemptCancelled = true;
     } else {
-      front.cancelAttempt(call, attempt);
+      delegate.cancelAttempt(call, attempt);
     }
   }
 
@@ -140,131 +141,135 @@
 
   @Override
   public void answer(String call, FinalAnswer answer) {
-    Kept entry = kept.get(call);
+    Entry entry = entries.get(call);
     if (entry == null) {
-      front.answer(call, answer);
+      delegate.answer(call, answer);
       return;
     }
-    boolean stands = answer.kind() == FinalAnswer.Kind.STANDS;
-    SavedCall before = entry.saved;
-    if (stands) {
+    boolean established = answer.kind() == FinalAnswer.Kind.STANDS;
+    SavedCall previous = entry.saved;
+    if (established) {
       legs.prepareSuccess(call);
     }
     entry.saved =
         new SavedCall(
-            before.call(),
-            stands ? Phase.STANDS : Phase.ANSWERED,
-            setController.call(call).hasAttempt() ? before.attempt() : SavedCall.NONE,
-            before.exchange(),
+            previous.call(),
+            established ? Phase.STANDS : Phase.ANSWERED,
+            controller.call(call).hasAttempt() ? previous.attempt() : SavedCall.NONE,
+            previous.exchange(),
             legs.encodeCallerLeg(call),
-            stands ? legs.encodeAttemptLeg(call) : before.attemptLeg(),
-            stands ? new byte[0] : legs.encodeFinalAnswer(call, answer),
-            before.deadline());
+            established ? legs.encodeAttemptLeg(call) : previous.attemptLeg(),
+            established ? new byte[0] : legs.encodeFinalAnswer(call, answer),
+            previous.deadline());
     store.put(entry.saved);
-    whenSafe(() -> safeToAnswer(call, answer));
+    afterSync(() -> sendSyncedAnswer(call, answer));
   }
 
-  private void safeToAnswer(String call, FinalAnswer answer) {
-    front.answer(call, answer);
+  private void sendSyncedAnswer(String call, FinalAnswer answer) {
+    delegate.answer(call, answer);
     if (answer.kind() != FinalAnswer.Kind.STANDS) {
-      clock.schedule(answeredKept, () -> forget(call));
+      scheduler.schedule(answerRetentionMillis, () -> remove(call));
     }
   }
 
   /**
-   * The caller called off: its answer to that must be safe before it leaves, or the next life would
-   * give it another. Where another answer waits for the disk already, that one leaves instead.
+   * The caller cancelled. The answer to that must be durable before it is sent, or the next run of
+   * the controller would give another. If another answer waits for the disk already, that one is
+   * sent instead.
    *
-   * @param answer sends it
+   * @param sendAnswer sends the answer to the cancel
    */
-  public void callerCancelled(String call, Runnable answer) {
-    Kept entry = kept.get(call);
+  public void callerCancelled(String call, Runnable sendAnswer) {
+    Entry entry = entries.get(call);
     if (entry == null) {
-      answer.run();
+      sendAnswer.run();
     } else if (entry.saved.phase() == Phase.SETTING_UP) {
-      entry.saved = entry.saved.cancelled();
+      entry.saved = entry.saved.asCancelled();
       store.put(entry.saved);
-      whenSafe(answer);
+      afterSync(sendAnswer);
     }
   }
 
-  /** Something of a call that stands has changed, such as an address; the store learns it late. */
+  /**
+   * An established call has changed, such as in an address; the change is stored without a sync.
+   */
   public void callChanged(String call) {
-    Kept entry = kept.get(call);
+    Entry entry = entries.get(call);
     if (entry != null && entry.saved.phase() == Phase.STANDS) {
-      SavedCall before = entry.saved;
+      SavedCall previous = entry.saved;
       entry.saved =
           new SavedCall(
-              before.call(),
+              previous.call(),
               Phase.STANDS,
-              before.attempt(),
-              before.exchange(),
-              legs.updateLeg(call, true, before.callerLeg()),
-              legs.updateLeg(call, false, before.attemptLeg()),
-              before.answer(),
-              before.deadline());
+              previous.attempt(),
+              previous.exchange(),
+              legs.updateLeg(call, true, previous.callerLeg()),
+              legs.updateLeg(call, false, previous.attemptLeg()),
+              previous.answer(),
+              previous.deadline());
       store.put(entry.saved);
     }
   }
 
   /**
-   * A call is let go by the core. It is kept until its ends have answered to its release: one that
-   * did not hear of it is found by asking after a crash. Lost in a crash, the removal leaves a call
-   * that stood to be found gone by asking its ends, and an answer to be sent once more alike.
+   * The controller no longer tracks a call. Its record stays stored until both ends have answered
+   * the release, so that after a crash recovery can ask an end that missed it. If the removal
+   * itself is lost in a crash, recovery finds by asking the ends that an established call is gone,
+   * and sends a final answer again unchanged.
    */
   public void callRemoved(String call) {
-    Kept entry = kept.get(call);
+    Entry entry = entries.get(call);
     if (entry != null && entry.saved.phase() != Phase.ANSWERED) {
-      entry.ended = true;
+      entry.callRemoved = true;
       if (!legs.isReleasing(call)) {
-        forget(call);
+        remove(call);
       }
     }
   }
 
-  /** All ends that were told of a call's release have answered, or will not. */
+  /** All ends to which the release was sent have answered, or never will. */
   public void releaseCompleted(String call) {
-    Kept entry = kept.get(call);
-    if (entry != null && entry.ended) {
-      forget(call);
+    Entry entry = entries.get(call);
+    if (entry != null && entry.callRemoved) {
+      remove(call);
     }
   }
 
-  private void forget(String call) {
-    if (kept.remove(call) != null) {
+  private void remove(String call) {
+    if (entries.remove(call) != null) {
       store.remove(call);
     }
   }
 
-  // ---- What passes --------------------------------------------------------------------------
+  // ---- Passed on unchanged ------------------------------------------------------------------
 
   @Override
   public void releaseAttempt(String call, int attempt) {
-    front.releaseAttempt(call, attempt);
+    delegate.releaseAttempt(call, attempt);
   }
 
   @Override
-  public void releaseCaller(String call, boolean cut) {
-    front.releaseCaller(call, cut);
+  public void releaseCaller(String call, boolean disconnected) {
+    delegate.releaseCaller(call, disconnected);
   }
 
   @Override
-  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
-    front.probe(exchange, askedAt);
+  public void probe(ExchangeDirectory.Entry exchange, double sentAt) {
+    delegate.probe(exchange, sentAt);
   }
 
   @Override
   public void broadcast(byte[] payload) {
-    front.broadcast(payload);
+    delegate.broadcast(payload);
   }
 
   @Override
   public void subscribeToDirectory() {
-    front.subscribeToDirectory();
+    delegate.subscribeToDirectory();
   }
 
   @Override
   public Scheduler scheduler() {
-    return clock;
+    return scheduler;
   }
 }
--- a/core/src/test/java/coveladder/core/ExchangeDirectoryTest.java
+++ b/core/src/test/java/coveladder/core/ExchangeDirectoryTest.java
@@ -11,68 +11,71 @@
 import org.junit.jupiter.api.Test;
 
 class ExchangeDirectoryTest {
-  private final ExchangeDirectory list = new ExchangeDirectory();
+  private final ExchangeDirectory directory = new ExchangeDirectory();
 
-  private static Entry entry(String id, int number, ExchangeState state, double started) {
-    return new Entry(id, number, "x" + number, "sip:s" + number, state, started);
+  private static Entry entry(String id, int number, ExchangeState state, double startedAt) {
+    return new Entry(id, number, "x" + number, "sip:s" + number, state, startedAt);
   }
 
-  private static Update full(long version, Entry... entries) {
+  private static Update completeUpdate(long version, Entry... entries) {
     return new Update(true, 0, version, List.of(entries));
   }
 
-  private static Update change(long after, Entry... entries) {
-    return new Update(false, after, after + 1, List.of(entries));
+  private static Update changeAfter(long baseVersion, Entry... entries) {
+    return new Update(false, baseVersion, baseVersion + 1, List.of(entries));
   }
 
   @Test
-  void changesApplyInOrderAndAGapIsSeen() {
+  void changesApplyInOrderAndAGapIsDetected() {
     assertEquals(
-        UpdateResult.APPLIED, list.apply(full(4, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 0));
+        UpdateResult.APPLIED,
+        directory.apply(completeUpdate(4, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 0));
     assertEquals(
         UpdateResult.OUTDATED,
-        list.apply(change(3, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
+        directory.apply(changeAfter(3, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
     assertEquals(
-        UpdateResult.GAP, list.apply(change(5, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
-    assertNull(list.byId("b"));
+        UpdateResult.GAP,
+        directory.apply(changeAfter(5, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
+    assertNull(directory.byId("b"));
     assertEquals(
-        UpdateResult.APPLIED, list.apply(change(4, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
-    assertEquals("b", list.byNumber(2).id());
-    assertEquals(5, list.version());
+        UpdateResult.APPLIED,
+        directory.apply(changeAfter(4, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 0));
+    assertEquals("b", directory.byNumber(2).id());
+    assertEquals(5, directory.version());
   }
 
   @Test
-  void closedSinceIsWhenItWasFirstTold() {
-    list.apply(full(1, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 10);
-    assertEquals(Double.POSITIVE_INFINITY, list.closedSince("a"));
-    list.apply(change(1, entry("a", 1, ExchangeState.DRAINING, 0)), 20);
-    list.apply(change(2, entry("a", 1, ExchangeState.GONE, 0)), 30);
-    assertEquals(20, list.closedSince("a"));
-    list.apply(change(3, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 40);
-    assertEquals(Double.POSITIVE_INFINITY, list.closedSince("a"));
+  void closedSinceIsTheTimeOfTheFirstReport() {
+    directory.apply(completeUpdate(1, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 10);
+    assertEquals(Double.POSITIVE_INFINITY, directory.closedSince("a"));
+    directory.apply(changeAfter(1, entry("a", 1, ExchangeState.DRAINING, 0)), 20);
+    directory.apply(changeAfter(2, entry("a", 1, ExchangeState.GONE, 0)), 30);
+    assertEquals(20, directory.closedSince("a"));
+    directory.apply(changeAfter(3, entry("a", 1, ExchangeState.IN_SERVICE, 0)), 40);
+    assertEquals(Double.POSITIVE_INFINITY, directory.closedSince("a"));
   }
 
   @Test
-  void whatAWholeListLeavesOutIsGone() {
-    list.apply(
-        full(
+  void exchangesMissingFromACompleteUpdateAreRemoved() {
+    directory.apply(
+        completeUpdate(
             1,
             entry("a", 1, ExchangeState.IN_SERVICE, 0),
             entry("b", 2, ExchangeState.IN_SERVICE, 0)),
         0);
-    list.apply(full(9, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 50);
-    assertNull(list.byNumber(1));
-    assertEquals(50, list.closedSince("a"));
+    directory.apply(completeUpdate(9, entry("b", 2, ExchangeState.IN_SERVICE, 0)), 50);
+    assertNull(directory.byNumber(1));
+    assertEquals(50, directory.closedSince("a"));
   }
 
   @Test
-  void theNewestProcessorOfAPlaceCounts() {
+  void lookupReturnsTheNewestProcessorOfAnExchange() {
     Entry old = entry("a", 1, ExchangeState.IN_SERVICE, 0);
-    Entry fresh = entry("c", 1, ExchangeState.IN_SERVICE, 700);
-    list.apply(full(1, old, fresh), 0);
-    assertEquals("c", list.byNumber(1).id());
-    assertEquals("c", list.byDomain("X1").id());
-    assertEquals(1, list.numberOfDomain("x1"));
-    assertEquals(-1, list.numberOfDomain("x9"));
+    Entry replacement = entry("c", 1, ExchangeState.IN_SERVICE, 700);
+    directory.apply(completeUpdate(1, old, replacement), 0);
+    assertEquals("c", directory.byNumber(1).id());
+    assertEquals("c", directory.byDomain("X1").id());
+    assertEquals(1, directory.numberOfDomain("x1"));
+    assertEquals(-1, directory.numberOfDomain("x9"));
   }
 }
--- a/core/src/test/java/coveladder/core/VirtualClock.java
+++ b/core/src/test/java/coveladder/core/VirtualClock.java
@@ -4,20 +4,21 @@
 
 /** Virtual time for tests: it passes only when told to. */
 public final class VirtualClock implements Scheduler {
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
   private double now;
-  private long order;
+  private long nextSequence;
 
   /** Starts at a clock, ms. */
   public VirtualClock(double start) {
     now = start;
   }
 
-  private record Due(double at, long order, Runnable[] task) implements Comparable<Due> {
+  private record ScheduledTask(double dueAt, long sequence, Runnable[] task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
-      int byTime = Double.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+    public int compareTo(ScheduledTask other) {
+      int byTime = Double.compare(dueAt, other.dueAt);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -27,20 +28,20 @@
   }
 
   @Override
-  public Timer schedule(double delay, Runnable task) {
-    Runnable[] held = {task};
-    queue.add(new Due(now + delay, order++, held));
-    return () -> held[0] = null;
+  public Timer schedule(double delayMillis, Runnable task) {
+    Runnable[] cancellableTask = {task};
+    tasks.add(new ScheduledTask(now + delayMillis, nextSequence++, cancellableTask));
+    return () -> cancellableTask[0] = null;
   }
 
   /** Lets time pass, ms; what is due meanwhile runs at its time. */
   public void advance(double durationMillis) {
     double end = now + durationMillis;
-    while (!queue.isEmpty() && queue.peek().at() <= end) {
-      Due due = queue.poll();
-      now = due.at();
-      if (due.task()[0] != null) {
-        due.task()[0].run();
+    while (!tasks.isEmpty() && tasks.peek().dueAt() <= end) {
+      ScheduledTask next = tasks.poll();
+      now = next.dueAt();
+      if (next.task()[0] != null) {
+        next.task()[0].run();
       }
     }
     now = end;
@@ -53,6 +54,6 @@
 
   /** Timers that were not due yet, stopped ones included. */
   public int scheduledTasks() {
-    return queue.size();
+    return tasks.size();
   }
 }
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -40,34 +40,34 @@
   /** What callers and far ends have seen, across all lives of the controller. */
   private static final class Peers {
     final Map<String, String> attempts = new TreeMap<>();
-    final Map<String, List<String>> finals = new TreeMap<>();
-    final Map<String, Boolean> hungUp = new HashMap<>();
-    final List<String> breaches = new ArrayList<>();
+    final Map<String, List<String>> finalAnswers = new TreeMap<>();
+    final Map<String, Boolean> callerReleased = new HashMap<>();
+    final List<String> violations = new ArrayList<>();
 
     void invite(String key) {
       String call = key.substring(0, key.indexOf('/'));
       attempts.forEach(
           (other, state) -> {
             if (other.startsWith(call + "/") && !state.equals("over")) {
-              breaches.add(key + " sent while " + other + " is " + state);
+              violations.add(key + " sent while " + other + " is " + state);
             }
           });
-      if (finals.containsKey(call)) {
-        breaches.add(key + " sent after the final answer");
+      if (finalAnswers.containsKey(call)) {
+        violations.add(key + " sent after the final answer");
       }
       attempts.put(key, "out");
     }
 
     void answer(String call, String status) {
-      List<String> given = finals.computeIfAbsent(call, c -> new ArrayList<>());
-      if (!given.isEmpty() && !given.contains(status)) {
-        breaches.add(call + " answered " + status + " after " + given);
+      List<String> previous = finalAnswers.computeIfAbsent(call, c -> new ArrayList<>());
+      if (!previous.isEmpty() && !previous.contains(status)) {
+        violations.add(call + " answered " + status + " after " + previous);
       }
-      given.add(status);
+      previous.add(status);
     }
 
-    boolean stands(String call) {
-      return finals.getOrDefault(call, List.of()).contains("200");
+    boolean isEstablished(String call) {
+      return finalAnswers.getOrDefault(call, List.of()).contains("200");
     }
   }
 
@@ -87,26 +87,26 @@
   }
 
   /** One life of the controller. */
-  private final class Life implements Signalling, CallLegs, Scheduler {
+  private final class Incarnation implements Signalling, CallLegs, Scheduler {
     final MemoryStore store;
-    final WriteAheadSignalling writeAhead;
+    final WriteAheadSignalling signalling;
     final CallController controller;
     final Recovery recovery;
-    private final PriorityQueue<double[]> due = new PriorityQueue<>((a, b) -> compare(a, b));
+    private final PriorityQueue<double[]> queue = new PriorityQueue<>((a, b) -> compareDue(a, b));
     private final Map<Double, Runnable> tasks = new HashMap<>();
     private double now;
-    private double order;
+    private double nextSequence;
 
-    Life(MemoryStore store) {
+    Incarnation(MemoryStore store) {
       this.store = store;
-      this.writeAhead = new WriteAheadSignalling(this, this, store, 32_000);
-      CallClass kind = new CallClass(1, 0, 1_000, 3_000, 1, 5_000, List.of());
+      this.signalling = new WriteAheadSignalling(this, this, store, 32_000);
+      CallClass callClass = new CallClass(1, 0, 1_000, 3_000, 1, 5_000, List.of());
       CallPolicy.Settings settings =
           new CallPolicy.Settings(
               Layout.MESH,
               0,
               2,
-              List.of(kind),
+              List.of(callClass),
               5,
               6,
               true,
@@ -120,42 +120,42 @@
               10_000,
               3,
               3_000);
-      CallController.Observer journal =
+      CallController.Observer observer =
           new CallController.Observer() {
             @Override
             public void callRemoved(TrackedCall call) {
-              writeAhead.callRemoved(call.call().id());
+              signalling.callRemoved(call.call().id());
             }
           };
       controller =
           new CallController(
-              settings, writeAhead, new AttemptGuard(300, 250), journal, Simple::new);
-      writeAhead.setController(controller);
+              settings, signalling, new AttemptGuard(300, 250), observer, RetryOncePolicy::new);
+      signalling.setController(controller);
       recovery =
           new Recovery(
               controller,
-              writeAhead,
+              signalling,
               store,
               this,
               this,
               new RecoveryRate(new RecoveryRate.Budget(1_000, 10), 0.3, 10_000),
               2_000);
       controller.start();
-      ExchangeDirectory.Entry far =
+      ExchangeDirectory.Entry remote =
           new ExchangeDirectory.Entry("e1", 1, "x1", "sip:s1", ExchangeState.IN_SERVICE, 0);
-      controller.updateDirectory(new ExchangeDirectory.Update(true, 0, 1, List.of(far)));
+      controller.updateDirectory(new ExchangeDirectory.Update(true, 0, 1, List.of(remote)));
       recovery.start();
     }
 
-    private static int compare(double[] a, double[] b) {
+    private static int compareDue(double[] a, double[] b) {
       int byTime = Double.compare(a[0], b[0]);
       return byTime != 0 ? byTime : Double.compare(a[1], b[1]);
     }
 
-    void run(double lasts) {
-      double end = now + lasts;
-      while (!due.isEmpty() && due.peek()[0] <= end) {
-        double[] next = due.poll();
+    void advance(double durationMillis) {
+      double end = now + durationMillis;
+      while (!queue.isEmpty() && queue.peek()[0] <= end) {
+        double[] next = queue.poll();
         now = next[0];
         Runnable task = tasks.remove(next[1]);
         if (task != null) {
@@ -173,11 +173,11 @@
     }
 
     @Override
-    public Timer schedule(double delay, Runnable task) {
-      double own = order++;
-      due.add(new double[] {now + delay, own});
-      tasks.put(own, task);
-      return () -> tasks.remove(own);
+    public Timer schedule(double delayMillis, Runnable task) {
+      double sequence = nextSequence++;
+      queue.add(new double[] {now + delayMillis, sequence});
+      tasks.put(sequence, task);
+      return () -> tasks.remove(sequence);
     }
 
     @Override
@@ -188,9 +188,9 @@
     // ---- As a front -------------------------------------------------------------------------
 
     @Override
-    public void startAttempt(AttemptRequest order) {
+    public void startAttempt(AttemptRequest request) {
       boundary();
-      peers.invite(order.call() + "/" + order.attempt());
+      peers.invite(request.call() + "/" + request.attempt());
       boundary();
     }
 
@@ -213,19 +213,19 @@
     @Override
     public void answer(String call, FinalAnswer answer) {
       boundary();
-      boolean stands = answer.kind() == FinalAnswer.Kind.STANDS;
-      peers.answer(call, stands ? "200" : answer.kind().name());
+      boolean established = answer.kind() == FinalAnswer.Kind.STANDS;
+      peers.answer(call, established ? "200" : answer.kind().name());
       boundary();
     }
 
     @Override
-    public void releaseCaller(String call, boolean cut) {
+    public void releaseCaller(String call, boolean disconnected) {
       boundary();
-      peers.hungUp.put(call, true);
+      peers.callerReleased.put(call, true);
     }
 
     @Override
-    public void probe(ExchangeDirectory.Entry exchange, double askedAt) {}
+    public void probe(ExchangeDirectory.Entry exchange, double sentAt) {}
 
     @Override
     public void broadcast(byte[] payload) {}
@@ -245,8 +245,8 @@
     }
 
     @Override
-    public byte[] prepareAttempt(AttemptRequest order) {
-      return bytes(order.call() + "/" + order.attempt());
+    public byte[] prepareAttempt(AttemptRequest request) {
+      return bytes(request.call() + "/" + request.attempt());
     }
 
     @Override
@@ -260,8 +260,8 @@
     }
 
     @Override
-    public byte[] updateLeg(String call, boolean ofCaller, byte[] before) {
-      return before;
+    public byte[] updateLeg(String call, boolean callerSide, byte[] encodedLeg) {
+      return encodedLeg;
     }
 
     @Override
@@ -278,25 +278,25 @@
     }
 
     @Override
-    public void resume(SavedCall saved, boolean owed, int life) {
+    public void resume(SavedCall saved, boolean answerDue, int incarnation) {
       boundary();
-      if (owed) {
+      if (answerDue) {
         peers.answer(saved.id(), "200");
       }
     }
 
     @Override
-    public void verify(String call, boolean ofCaller, Consumer<LegStatus> told) {
+    public void verify(String call, boolean callerSide, Consumer<LegStatus> result) {
       boundary();
       int attempt = controller.call(call).attemptCount() - 1;
-      boolean far = peers.attempts.getOrDefault(call + "/" + attempt, "").equals("stands");
-      boolean left = peers.hungUp.getOrDefault(call, false);
-      told.accept((ofCaller ? !left : far) ? LegStatus.ACTIVE : LegStatus.GONE);
+      boolean remoteActive = peers.attempts.getOrDefault(call + "/" + attempt, "").equals("stands");
+      boolean callerGone = peers.callerReleased.getOrDefault(call, false);
+      result.accept((callerSide ? !callerGone : remoteActive) ? LegStatus.ACTIVE : LegStatus.GONE);
     }
 
     @Override
-    public void releaseLost(String call, boolean ofCaller) {
-      if (ofCaller) {
+    public void releaseLost(String call, boolean callerSide) {
+      if (callerSide) {
         controller.callerReleased(call);
       } else {
         int attempt = controller.call(call).attemptCount() - 1;
@@ -306,13 +306,13 @@
 
     @Override
     public void restoreCallerLeg(
-        SavedCall saved, Consumer<Runnable> whenCalledOff, Runnable whenRepeated) {}
+        SavedCall saved, Consumer<Runnable> whenCancelled, Runnable whenRetransmitted) {}
 
     @Override
-    public void cancelAfterRestart(SavedCall saved, Runnable over) {
+    public void cancelAfterRestart(SavedCall saved, Runnable whenEnded) {
       boundary();
       peers.attempts.replace(saved.id() + "/" + saved.attempt(), "over");
-      schedule(1, over);
+      schedule(1, whenEnded);
     }
 
     @Override
@@ -334,10 +334,10 @@
   }
 
   /** A policy that sends at once and, when an attempt was refused, once more. */
-  private static final class Simple implements CallPolicy {
+  private static final class RetryOncePolicy implements CallPolicy {
     private final Actions actions;
 
-    Simple(Actions actions) {
+    RetryOncePolicy(Actions actions) {
       this.actions = actions;
     }
 
@@ -345,7 +345,7 @@
     public void onStart(double now) {}
 
     @Override
-    public void onDirectoryUpdate(double now, DirectoryUpdate news) {}
+    public void onDirectoryUpdate(double now, DirectoryUpdate update) {}
 
     @Override
     public void onCall(double now, Call call) {
@@ -353,7 +353,7 @@
     }
 
     @Override
-    public void onEstablished(double now, Established stands) {}
+    public void onEstablished(double now, Established established) {}
 
     @Override
     public void onAttemptEnded(double now, AttemptEnded ended) {
@@ -379,31 +379,31 @@
 
   // ---- The script ---------------------------------------------------------------------------
 
-  private static List<Consumer<Life>> script(Peers peers) {
-    List<Consumer<Life>> steps = new ArrayList<>();
-    for (int i = 0; i < CALLS; i++) {
-      String id = "c" + i;
-      steps.add(life -> life.controller.callArrived(call(id)));
-      steps.add(life -> life.run(2));
-    }
-    steps.add(life -> far(life, peers, "c0", 0, "stands"));
-    steps.add(life -> far(life, peers, "c1", 0, "busy"));
-    steps.add(life -> far(life, peers, "c2", 0, "busy"));
-    steps.add(life -> life.run(5));
-    steps.add(life -> far(life, peers, "c1", 1, "stands"));
-    steps.add(life -> far(life, peers, "c2", 1, "busy"));
+  private static List<Consumer<Incarnation>> script(Peers peers) {
+    List<Consumer<Incarnation>> steps = new ArrayList<>();
+    for (int index = 0; index < CALLS; index++) {
+      String id = "c" + index;
+      steps.add(incarnation -> incarnation.controller.callArrived(call(id)));
+      steps.add(incarnation -> incarnation.advance(2));
+    }
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c0", 0, "stands"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c1", 0, "busy"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c2", 0, "busy"));
+    steps.add(incarnation -> incarnation.advance(5));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c1", 1, "stands"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c2", 1, "busy"));
     steps.add(
-        life -> {
-          if (life.controller.call("c3") != null) {
-            life.writeAhead.callerCancelled("c3", () -> peers.answer("c3", "487"));
-            life.controller.callerAbandoned("c3");
+        incarnation -> {
+          if (incarnation.controller.call("c3") != null) {
+            incarnation.signalling.callerCancelled("c3", () -> peers.answer("c3", "487"));
+            incarnation.controller.callerAbandoned("c3");
           }
         });
-    steps.add(life -> far(life, peers, "c4", 0, "stands"));
-    steps.add(life -> life.run(5));
-    steps.add(life -> hangUp(life, peers, "c0"));
-    steps.add(life -> far(life, peers, "c4", 0, "over"));
-    steps.add(life -> life.run(4_000));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "stands"));
+    steps.add(incarnation -> incarnation.advance(5));
+    steps.add(incarnation -> callerReleases(incarnation, peers, "c0"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "over"));
+    steps.add(incarnation -> incarnation.advance(4_000));
     return steps;
   }
 
@@ -412,124 +412,126 @@
   }
 
   /** The far end answers or leaves, if it knows of the attempt. */
-  private static void far(Life life, Peers peers, String call, int attempt, String what) {
+  private static void remoteEvent(
+      Incarnation incarnation, Peers peers, String call, int attempt, String event) {
     String key = call + "/" + attempt;
     String state = peers.attempts.get(key);
-    if (what.equals("over") && "stands".equals(state)) {
+    if (event.equals("over") && "stands".equals(state)) {
       peers.attempts.put(key, "over");
-      life.controller.attemptEnded(call, attempt, Outcome.DONE, Reason.NONE, 0);
-    } else if ("out".equals(state) && what.equals("stands")) {
+      incarnation.controller.attemptEnded(call, attempt, Outcome.DONE, Reason.NONE, 0);
+    } else if ("out".equals(state) && event.equals("stands")) {
       peers.attempts.put(key, "stands");
-      life.controller.attemptAnswered(call, attempt);
-    } else if ("out".equals(state) && what.equals("busy")) {
+      incarnation.controller.attemptAnswered(call, attempt);
+    } else if ("out".equals(state) && event.equals("busy")) {
       peers.attempts.put(key, "over");
-      life.controller.attemptEnded(call, attempt, Outcome.BUSY, Reason.NO_CIRCUIT, 0);
+      incarnation.controller.attemptEnded(call, attempt, Outcome.BUSY, Reason.NO_CIRCUIT, 0);
     }
   }
 
-  private static void hangUp(Life life, Peers peers, String call) {
-    if (peers.stands(call)) {
-      peers.hungUp.put(call, true);
-      life.controller.callerReleased(call);
+  private static void callerReleases(Incarnation incarnation, Peers peers, String call) {
+    if (peers.isEstablished(call)) {
+      peers.callerReleased.put(call, true);
+      incarnation.controller.callerReleased(call);
     }
   }
 
   /** Plays the script with kills at these boundaries; how many boundaries the first life has. */
-  private int play(long seed, boolean diskFails, int... kills) {
+  private int runScript(long seed, boolean diskFails, int... killBoundaries) {
     SplittableRandom random = new SplittableRandom(seed);
     MemoryStore store = new MemoryStore(this::boundary);
     store.diskFails = diskFails;
-    List<Consumer<Life>> steps = script(peers);
-    int step = 0;
-    int life = 0;
-    Life current = null;
-    int first = 0;
-    while (step < steps.size()) {
+    List<Consumer<Incarnation>> steps = script(peers);
+    int nextStep = 0;
+    int incarnations = 0;
+    Incarnation current = null;
+    int boundaryCount = 0;
+    while (nextStep < steps.size()) {
       boundaries = 0;
-      killAt = life < kills.length ? kills[life] : Integer.MAX_VALUE;
-      life++;
+      killAt =
+          incarnations < killBoundaries.length ? killBoundaries[incarnations] : Integer.MAX_VALUE;
+      incarnations++;
       try {
-        current = new Life(store);
-        current.run(30);
-        while (step < steps.size()) {
-          steps.get(step).accept(current);
-          step++;
+        current = new Incarnation(store);
+        current.advance(30);
+        while (nextStep < steps.size()) {
+          steps.get(nextStep).accept(current);
+          nextStep++;
         }
-        first = boundaries;
+        boundaryCount = boundaries;
       } catch (Killed killed) {
         store.crash(random);
-        step++;
+        nextStep++;
       }
     }
     killAt = Integer.MAX_VALUE;
-    current = life <= kills.length ? new Life(store) : current;
-    current.run(60_000);
-    settled(current);
-    return first;
+    current = incarnations <= killBoundaries.length ? new Incarnation(store) : current;
+    current.advance(60_000);
+    assertSettled(current);
+    return boundaryCount;
   }
 
   /** Nothing is left open at peers that the controller does not hold. */
-  private void settled(Life life) {
-    assertEquals(List.of(), peers.breaches);
+  private void assertSettled(Incarnation incarnation) {
+    assertEquals(List.of(), peers.violations);
     peers.attempts.forEach(
         (key, state) -> {
           String call = key.substring(0, key.indexOf('/'));
-          boolean held = life.controller.call(call) != null;
-          assertTrue(state.equals("over") || held, key + " is " + state + " and forgotten");
-          boolean kept = held && state.equals("stands") && peers.stands(call);
-          assertTrue(state.equals("over") || kept, key + " is " + state);
+          boolean tracked = incarnation.controller.call(call) != null;
+          assertTrue(state.equals("over") || tracked, key + " is " + state + " and forgotten");
+          boolean established = tracked && state.equals("stands") && peers.isEstablished(call);
+          assertTrue(state.equals("over") || established, key + " is " + state);
         });
-    assertTrue(life.recovery.isComplete());
+    assertTrue(incarnation.recovery.isComplete());
   }
 
   @Test
-  void withoutACrashAllIsAsItWas() {
-    play(1, false);
-    assertEquals(List.of("200"), peers.finals.get("c1"));
-    assertEquals(List.of("REFUSED"), peers.finals.get("c2"));
+  void theScriptCompletesWithoutACrash() {
+    runScript(1, false);
+    assertEquals(List.of("200"), peers.finalAnswers.get("c1"));
+    assertEquals(List.of("REFUSED"), peers.finalAnswers.get("c2"));
     assertEquals("stands", peers.attempts.get("c1/1"));
     assertEquals("over", peers.attempts.get("c0/0"));
   }
 
   @Test
-  void aCrashAtEveryBoundaryKeepsTheRules() {
-    int all = new CrashTest().play(1, false);
-    assertTrue(all > 50, "boundaries " + all);
-    for (int kill = 1; kill <= all; kill++) {
+  void aCrashAtAnyBoundaryViolatesNoRule() {
+    int boundaryCount = new CrashTest().runScript(1, false);
+    assertTrue(boundaryCount > 50, "boundaries " + boundaryCount);
+    for (int firstKill = 1; firstKill <= boundaryCount; firstKill++) {
       for (long seed = 1; seed <= 4; seed++) {
-        new CrashTest().play(seed, false, kill);
+        new CrashTest().runScript(seed, false, firstKill);
       }
     }
   }
 
   @Test
-  void aSecondCrashDuringRecoveryKeepsThemToo() {
-    int all = new CrashTest().play(1, false);
-    for (int kill = 1; kill <= all; kill += 2) {
-      for (int again = 1; again <= 12; again++) {
-        new CrashTest().play(kill, false, kill, again);
+  void aSecondCrashDuringRecoveryViolatesNoRule() {
+    int boundaryCount = new CrashTest().runScript(1, false);
+    for (int firstKill = 1; firstKill <= boundaryCount; firstKill += 2) {
+      for (int secondKill = 1; secondKill <= 12; secondKill++) {
+        new CrashTest().runScript(firstKill, false, firstKill, secondKill);
       }
     }
   }
 
   @Test
-  void aCallThatStoodBeforeTheCrashStandsAfterIt() {
-    int all = new CrashTest().play(1, false);
-    for (int kill = all - 20; kill <= all; kill++) {
+  void anEstablishedCallSurvivesTheCrash() {
+    int boundaryCount = new CrashTest().runScript(1, false);
+    for (int firstKill = boundaryCount - 20; firstKill <= boundaryCount; firstKill++) {
       CrashTest test = new CrashTest();
-      test.play(3, false, kill);
-      assertEquals("stands", test.peers.attempts.get("c1/1"), "killed at " + kill);
+      test.runScript(3, false, firstKill);
+      assertEquals("stands", test.peers.attempts.get("c1/1"), "killed at " + firstKill);
     }
   }
 
   @Test
-  void aDiskThatFailsStopsNoCall() {
-    play(1, true);
-    assertEquals(List.of("200"), peers.finals.get("c1"));
+  void aFailingDiskStopsNoCall() {
+    runScript(1, true);
+    assertEquals(List.of("200"), peers.finalAnswers.get("c1"));
   }
 
   @Test
-  void aBudgetOfNothingIsRefused() {
+  void aZeroRecoveryBudgetIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new RecoveryRate.Budget(0, 0));
   }
 }
--- a/core/src/test/java/coveladder/core/recovery/MemoryStore.java
+++ b/core/src/test/java/coveladder/core/recovery/MemoryStore.java
@@ -11,62 +11,62 @@
  * A store whose changes are lost in a crash unless a sync had ended; some may live all the same.
  */
 final class MemoryStore implements CallStore {
-  private final Map<String, SavedCall> safe = new LinkedHashMap<>();
-  private final List<Runnable> unsafe = new ArrayList<>();
-  private final List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private final Runnable boundary;
+  private final Map<String, SavedCall> persisted = new LinkedHashMap<>();
+  private final List<Runnable> unsyncedChanges = new ArrayList<>();
+  private final List<Consumer<Boolean>> syncCallbacks = new ArrayList<>();
+  private final Runnable atBoundary;
   boolean diskFails;
 
-  MemoryStore(Runnable boundary) {
-    this.boundary = boundary;
+  MemoryStore(Runnable atBoundary) {
+    this.atBoundary = atBoundary;
   }
 
   @Override
   public void put(SavedCall call) {
-    boundary.run();
-    unsafe.add(() -> safe.put(call.id(), call));
-    boundary.run();
+    atBoundary.run();
+    unsyncedChanges.add(() -> persisted.put(call.id(), call));
+    atBoundary.run();
   }
 
   @Override
   public void remove(String id) {
-    boundary.run();
-    unsafe.add(() -> safe.remove(id));
+    atBoundary.run();
+    unsyncedChanges.add(() -> persisted.remove(id));
   }
 
   @Override
-  public void sync(Consumer<Boolean> done) {
-    waiting.add(done);
+  public void sync(Consumer<Boolean> whenSynced) {
+    syncCallbacks.add(whenSynced);
   }
 
   @Override
   public Contents initialContents() {
-    return new Contents(new ArrayList<>(safe.values()), List.of(), false, 1);
+    return new Contents(new ArrayList<>(persisted.values()), List.of(), false, 1);
   }
 
   @Override
   public void markUpToDate() {}
 
   @Override
-  public void onRecreated(Runnable putAll) {}
+  public void onRecreated(Runnable rewriteAll) {}
 
   /** The disk ends its work: all so far is safe, or is not, and those who wait hear of it. */
   void flush() {
-    List<Consumer<Boolean>> told = new ArrayList<>(waiting);
-    waiting.clear();
+    List<Consumer<Boolean>> callbacks = new ArrayList<>(syncCallbacks);
+    syncCallbacks.clear();
     if (!diskFails) {
-      unsafe.forEach(Runnable::run);
-      unsafe.clear();
+      unsyncedChanges.forEach(Runnable::run);
+      unsyncedChanges.clear();
     }
-    boundary.run();
-    told.forEach(done -> done.accept(!diskFails));
+    atBoundary.run();
+    callbacks.forEach(whenSynced -> whenSynced.accept(!diskFails));
   }
 
   /** A crash: of what was not safe a part that the seed draws lives, from the first on. */
   void crash(SplittableRandom random) {
-    int lives = unsafe.isEmpty() ? 0 : random.nextInt(unsafe.size() + 1);
-    unsafe.subList(0, lives).forEach(Runnable::run);
-    unsafe.clear();
-    waiting.clear();
+    int surviving = unsyncedChanges.isEmpty() ? 0 : random.nextInt(unsyncedChanges.size() + 1);
+    unsyncedChanges.subList(0, surviving).forEach(Runnable::run);
+    unsyncedChanges.clear();
+    syncCallbacks.clear();
   }
 }
