--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -37,11 +37,11 @@
   // ---- After a restart ----------------------------------------------------------------------
 
   /**
-   * Makes both legs of a call that stands.
+   * Restores both legs of an established call.
    *
-   * @param answerDue whether a 2xx that is not known to be acknowledged is sent until it is
-   * @param incarnation which life of the controller this is, for numbers that no life before has
-   *     used
+   * @param answerDue whether a 2xx not known to be acknowledged is retransmitted until it is
+   * @param incarnation number of this run of the controller, for sequence numbers that no earlier
+   *     run has used
    */
   void resume(SavedCall saved, boolean answerDue, int incarnation);
 
--- a/core/src/test/java/coveladder/core/CallControllerTest.java
+++ b/core/src/test/java/coveladder/core/CallControllerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The driver with a policy and a front that do just what the test says. */
+/** Tests the controller with a scripted policy and a recording front end. */
 class CallControllerTest {
   private final List<String> policyEvents = new ArrayList<>();
   private final List<String> signals = new ArrayList<>();
@@ -26,7 +26,7 @@
   private CallController controller;
   private boolean skipImmediately;
 
-  /** Writes down what the core asks for. */
+  /** Records what the core requests from the front end. */
   private final class RecordingSignalling implements Signalling {
     @Override
     public void startAttempt(AttemptRequest request) {
@@ -56,7 +56,7 @@
 
     @Override
     public void releaseCaller(String call, boolean disconnected) {
-      signals.add("bye " + call + (disconnected ? " cut" : ""));
+      signals.add("release caller " + call + (disconnected ? " disconnected" : ""));
     }
 
     @Override
@@ -66,7 +66,7 @@
 
     @Override
     public void broadcast(byte[] payload) {
-      signals.add("tell " + payload.length);
+      signals.add("broadcast " + payload.length);
     }
 
     @Override
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Writes down what the policy hears. */
+  /** Records the events of the policy; sends a set-up for each call to the number "send". */
   private final class ScriptedPolicy implements CallPolicy {
     @Override
     public void onStart(double now) {
@@ -89,7 +89,7 @@
 
     @Override
     public void onDirectoryUpdate(double now, DirectoryUpdate update) {
-      policyEvents.add("list " + update.entries().size());
+      policyEvents.add("directory " + update.entries().size());
     }
 
     @Override
@@ -102,18 +102,18 @@
 
     @Override
     public void onEstablished(double now, Established established) {
-      policyEvents.add("stands " + established.call() + " " + established.elapsed());
+      policyEvents.add("established " + established.call() + " " + established.elapsed());
     }
 
     @Override
     public void onAttemptEnded(double now, AttemptEnded ended) {
       policyEvents.add(
-          "ended " + ended.outcome() + " " + ended.reason() + " last=" + ended.callFinished());
+          "ended " + ended.outcome() + " " + ended.reason() + " finished=" + ended.callFinished());
     }
 
     @Override
     public void onCallerAbandoned(double now, String call) {
-      policyEvents.add("left " + call);
+      policyEvents.add("abandoned " + call);
     }
 
     @Override
@@ -189,9 +189,10 @@
     clock.advance(9_000);
     controller.attemptEnded("a", 0, Outcome.DONE, Reason.NONE, 0);
     controller.attemptEnded("a", 0, Outcome.DONE, Reason.NONE, 0);
-    assertEquals(List.of("call a", "stands a 40.0", "ended DONE NONE last=true"), policyEvents);
     assertEquals(
-        List.of("start a/0 e1", "answer a STANDS", "release a/0", "bye a"),
+        List.of("call a", "established a 40.0", "ended DONE NONE finished=true"), policyEvents);
+    assertEquals(
+        List.of("start a/0 e1", "answer a STANDS", "release a/0", "release caller a"),
         signals,
         signals.toString());
     assertEquals(0, controller.callCount());
@@ -204,7 +205,7 @@
     assertEquals(List.of("start a/0 e1", "cancel a/0"), signals);
     assertEquals(List.of("call a"), policyEvents);
     controller.attemptEnded("a", 0, Outcome.BUSY, Reason.NO_CIRCUIT, 5);
-    assertEquals("ended TIMED_OUT NONE last=false", policyEvents.get(1));
+    assertEquals("ended TIMED_OUT NONE finished=false", policyEvents.get(1));
   }
 
   @Test
@@ -233,7 +234,7 @@
   void eventsDuringAPolicyCallbackAreQueuedUntilItReturns() {
     skipImmediately = true;
     callArrives("a", "send");
-    assertEquals(List.of("call a", "ended SKIPPED PROCESSOR_FULL last=false"), policyEvents);
+    assertEquals(List.of("call a", "ended SKIPPED PROCESSOR_FULL finished=false"), policyEvents);
   }
 
   @Test
@@ -241,7 +242,7 @@
     callArrives("a", "wait");
     clock.advance(2_001);
     assertEquals(List.of("answer a FAILED"), signals);
-    assertEquals(List.of("call a", "left a"), policyEvents);
+    assertEquals(List.of("call a", "abandoned a"), policyEvents);
     actions.refuse("a", 0);
     actions.fail("a");
     actions.send("a", "e1", 100);
@@ -256,7 +257,7 @@
     assertEquals(List.of("start a/0 e1", "cancel a/0"), signals);
     assertEquals(1, controller.callCount());
     controller.attemptEnded("a", 0, Outcome.CANCELLED, Reason.NONE, 0);
-    assertEquals("ended CANCELLED NONE last=true", policyEvents.get(2));
+    assertEquals("ended CANCELLED NONE finished=true", policyEvents.get(2));
     assertEquals(0, controller.callCount());
   }
 
@@ -266,7 +267,7 @@
     controller.callerAbandoned("a");
     controller.attemptAnswered("a", 0);
     assertEquals("release a/0", signals.get(2));
-    assertEquals(List.of("call a", "left a"), policyEvents);
+    assertEquals(List.of("call a", "abandoned a"), policyEvents);
   }
 
   @Test
@@ -274,7 +275,7 @@
     callArrives("a", "send");
     controller.calleeRejected("a", 0);
     assertEquals(List.of("start a/0 e1", "answer a PASSED"), signals);
-    assertEquals("ended ERROR NONE last=true", policyEvents.get(1));
+    assertEquals("ended ERROR NONE finished=true", policyEvents.get(1));
     assertEquals(0, controller.callCount());
   }
 
@@ -303,9 +304,9 @@
     ExchangeDirectory.Entry remote =
         new ExchangeDirectory.Entry("e2", 2, "x2", "sip:s2", ExchangeState.IN_SERVICE, 0);
     controller.updateDirectory(new ExchangeDirectory.Update(false, 1, 2, List.of(remote)));
-    assertEquals(List.of("list 1", "report e2 7.0"), policyEvents);
+    assertEquals(List.of("directory 1", "report e2 7.0"), policyEvents);
     controller.circuitsReported(2, 5, 9, 1);
-    assertEquals(2, policyEvents.size(), "an old version tells nothing");
+    assertEquals(2, policyEvents.size(), "an outdated version is not reported");
   }
 
   @Test
--- a/core/src/test/java/coveladder/core/VirtualClock.java
+++ b/core/src/test/java/coveladder/core/VirtualClock.java
@@ -2,13 +2,13 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time for tests: it passes only when told to. */
+/** A scheduler with virtual time for tests: time passes only on request. */
 public final class VirtualClock implements Scheduler {
   private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
   private double now;
   private long nextSequence;
 
-  /** Starts at a clock, ms. */
+  /** Creates a clock that starts at the given time, ms. */
   public VirtualClock(double start) {
     now = start;
   }
@@ -34,7 +34,7 @@
     return () -> cancellableTask[0] = null;
   }
 
-  /** Lets time pass, ms; what is due meanwhile runs at its time. */
+  /** Lets time pass, ms, and runs each task when it is due. */
   public void advance(double durationMillis) {
     double end = now + durationMillis;
     while (!tasks.isEmpty() && tasks.peek().dueAt() <= end) {
@@ -47,12 +47,12 @@
     now = end;
   }
 
-  /** Lets time pass while nothing runs, ms. */
+  /** Lets time pass, ms, without running any task. */
   public void stall(double durationMillis) {
     now += durationMillis;
   }
 
-  /** Timers that were not due yet, stopped ones included. */
+  /** Number of tasks that have not been due yet, cancelled ones included. */
   public int scheduledTasks() {
     return tasks.size();
   }
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -31,13 +31,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A controller that crashes at every write and every message of a scripted run, once and twice, and
- * goes on from its store. Peers live on: what they saw must keep the rules across lives.
+ * Kills the controller at every write and every message of a scripted run, once and twice, and
+ * restarts it from its store. The peers keep running: they check that no call has two attempts
+ * outstanding together and that none gets two different final answers, across all restarts.
  */
 class CrashTest {
   private static final int CALLS = 6;
 
-  /** What callers and far ends have seen, across all lives of the controller. */
+  /** What callers and remote exchanges have seen, across all runs of the controller. */
   private static final class Peers {
     final Map<String, String> attempts = new TreeMap<>();
     final Map<String, List<String>> finalAnswers = new TreeMap<>();
@@ -48,14 +49,14 @@
       String call = key.substring(0, key.indexOf('/'));
       attempts.forEach(
           (other, state) -> {
-            if (other.startsWith(call + "/") && !state.equals("over")) {
+            if (other.startsWith(call + "/") && !state.equals("ended")) {
               violations.add(key + " sent while " + other + " is " + state);
             }
           });
       if (finalAnswers.containsKey(call)) {
         violations.add(key + " sent after the final answer");
       }
-      attempts.put(key, "out");
+      attempts.put(key, "pending");
     }
 
     void answer(String call, String status) {
@@ -71,7 +72,7 @@
     }
   }
 
-  /** Thrown at the boundary where the process is killed. */
+  /** Thrown at the boundary at which the process is killed. */
   private static final class Killed extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
@@ -86,7 +87,7 @@
     }
   }
 
-  /** One life of the controller. */
+  /** One run of the controller, with its front end and virtual clock. */
   private final class Incarnation implements Signalling, CallLegs, Scheduler {
     final MemoryStore store;
     final WriteAheadSignalling signalling;
@@ -185,7 +186,7 @@
       return this;
     }
 
-    // ---- As a front -------------------------------------------------------------------------
+    // ---- Signalling -------------------------------------------------------------------------
 
     @Override
     public void startAttempt(AttemptRequest request) {
@@ -198,7 +199,7 @@
     public void cancelAttempt(String call, int attempt) {
       boundary();
       String key = call + "/" + attempt;
-      if (peers.attempts.replace(key, "over") != null) {
+      if (peers.attempts.replace(key, "ended") != null) {
         schedule(
             1, () -> controller.attemptEnded(call, attempt, Outcome.CANCELLED, Reason.NONE, 0));
       }
@@ -207,7 +208,7 @@
     @Override
     public void releaseAttempt(String call, int attempt) {
       boundary();
-      peers.attempts.replace(call + "/" + attempt, "over");
+      peers.attempts.replace(call + "/" + attempt, "ended");
     }
 
     @Override
@@ -289,7 +290,8 @@
     public void verify(String call, boolean callerSide, Consumer<LegStatus> result) {
       boundary();
       int attempt = controller.call(call).attemptCount() - 1;
-      boolean remoteActive = peers.attempts.getOrDefault(call + "/" + attempt, "").equals("stands");
+      boolean remoteActive =
+          peers.attempts.getOrDefault(call + "/" + attempt, "").equals("established");
       boolean callerGone = peers.callerReleased.getOrDefault(call, false);
       result.accept((callerSide ? !callerGone : remoteActive) ? LegStatus.ACTIVE : LegStatus.GONE);
     }
@@ -311,7 +313,7 @@
     @Override
     public void cancelAfterRestart(SavedCall saved, Runnable whenEnded) {
       boundary();
-      peers.attempts.replace(saved.id() + "/" + saved.attempt(), "over");
+      peers.attempts.replace(saved.id() + "/" + saved.attempt(), "ended");
       schedule(1, whenEnded);
     }
 
@@ -333,7 +335,7 @@
     }
   }
 
-  /** A policy that sends at once and, when an attempt was refused, once more. */
+  /** A policy that sends each call at once, and once more if the first attempt was busy. */
   private static final class RetryOncePolicy implements CallPolicy {
     private final Actions actions;
 
@@ -386,11 +388,11 @@
       steps.add(incarnation -> incarnation.controller.callArrived(call(id)));
       steps.add(incarnation -> incarnation.advance(2));
     }
-    steps.add(incarnation -> remoteEvent(incarnation, peers, "c0", 0, "stands"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c0", 0, "established"));
     steps.add(incarnation -> remoteEvent(incarnation, peers, "c1", 0, "busy"));
     steps.add(incarnation -> remoteEvent(incarnation, peers, "c2", 0, "busy"));
     steps.add(incarnation -> incarnation.advance(5));
-    steps.add(incarnation -> remoteEvent(incarnation, peers, "c1", 1, "stands"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c1", 1, "established"));
     steps.add(incarnation -> remoteEvent(incarnation, peers, "c2", 1, "busy"));
     steps.add(
         incarnation -> {
@@ -399,10 +401,10 @@
             incarnation.controller.callerAbandoned("c3");
           }
         });
-    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "stands"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "established"));
     steps.add(incarnation -> incarnation.advance(5));
     steps.add(incarnation -> callerReleases(incarnation, peers, "c0"));
-    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "over"));
+    steps.add(incarnation -> remoteEvent(incarnation, peers, "c4", 0, "ended"));
     steps.add(incarnation -> incarnation.advance(4_000));
     return steps;
   }
@@ -411,19 +413,19 @@
     return new Call(id, 0, 2_000, 1, "555", 1, false, false, false);
   }
 
-  /** The far end answers or leaves, if it knows of the attempt. */
+  /** The remote exchange answers, rejects or releases the attempt, if its state allows that. */
   private static void remoteEvent(
       Incarnation incarnation, Peers peers, String call, int attempt, String event) {
     String key = call + "/" + attempt;
     String state = peers.attempts.get(key);
-    if (event.equals("over") && "stands".equals(state)) {
-      peers.attempts.put(key, "over");
+    if (event.equals("ended") && "established".equals(state)) {
+      peers.attempts.put(key, "ended");
       incarnation.controller.attemptEnded(call, attempt, Outcome.DONE, Reason.NONE, 0);
-    } else if ("out".equals(state) && event.equals("stands")) {
-      peers.attempts.put(key, "stands");
+    } else if ("pending".equals(state) && event.equals("established")) {
+      peers.attempts.put(key, "established");
       incarnation.controller.attemptAnswered(call, attempt);
-    } else if ("out".equals(state) && event.equals("busy")) {
-      peers.attempts.put(key, "over");
+    } else if ("pending".equals(state) && event.equals("busy")) {
+      peers.attempts.put(key, "ended");
       incarnation.controller.attemptEnded(call, attempt, Outcome.BUSY, Reason.NO_CIRCUIT, 0);
     }
   }
@@ -435,7 +437,11 @@
     }
   }
 
-  /** Plays the script with kills at these boundaries; how many boundaries the first life has. */
+  /**
+   * Runs the script and kills each run of the controller at the given boundary.
+   *
+   * @return number of boundaries that the run which completed the script has passed by then
+   */
   private int runScript(long seed, boolean diskFails, int... killBoundaries) {
     SplittableRandom random = new SplittableRandom(seed);
     MemoryStore store = new MemoryStore(this::boundary);
@@ -470,16 +476,16 @@
     return boundaryCount;
   }
 
-  /** Nothing is left open at peers that the controller does not hold. */
+  /** Asserts that every attempt at the peers has ended or is established and tracked. */
   private void assertSettled(Incarnation incarnation) {
     assertEquals(List.of(), peers.violations);
     peers.attempts.forEach(
         (key, state) -> {
           String call = key.substring(0, key.indexOf('/'));
           boolean tracked = incarnation.controller.call(call) != null;
-          assertTrue(state.equals("over") || tracked, key + " is " + state + " and forgotten");
-          boolean established = tracked && state.equals("stands") && peers.isEstablished(call);
-          assertTrue(state.equals("over") || established, key + " is " + state);
+          assertTrue(state.equals("ended") || tracked, key + " is " + state + " and not tracked");
+          boolean established = tracked && state.equals("established") && peers.isEstablished(call);
+          assertTrue(state.equals("ended") || established, key + " is " + state);
         });
     assertTrue(incarnation.recovery.isComplete());
   }
@@ -489,8 +495,8 @@
     runScript(1, false);
     assertEquals(List.of("200"), peers.finalAnswers.get("c1"));
     assertEquals(List.of("REFUSED"), peers.finalAnswers.get("c2"));
-    assertEquals("stands", peers.attempts.get("c1/1"));
-    assertEquals("over", peers.attempts.get("c0/0"));
+    assertEquals("established", peers.attempts.get("c1/1"));
+    assertEquals("ended", peers.attempts.get("c0/0"));
   }
 
   @Test
@@ -520,7 +526,7 @@
     for (int firstKill = boundaryCount - 20; firstKill <= boundaryCount; firstKill++) {
       CrashTest test = new CrashTest();
       test.runScript(3, false, firstKill);
-      assertEquals("stands", test.peers.attempts.get("c1/1"), "killed at " + firstKill);
+      assertEquals("established", test.peers.attempts.get("c1/1"), "killed at " + firstKill);
     }
   }
 
--- a/core/src/test/java/coveladder/core/recovery/MemoryStore.java
+++ b/core/src/test/java/coveladder/core/recovery/MemoryStore.java
@@ -8,7 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose changes are lost in a crash unless a sync had ended; some may live all the same.
+ * A store in memory. A simulated crash loses the changes that were not synced, except for the first
+ * few of them, whose number is drawn at random.
  */
 final class MemoryStore implements CallStore {
   private final Map<String, SavedCall> persisted = new LinkedHashMap<>();
@@ -50,7 +51,7 @@
   @Override
   public void onRecreated(Runnable rewriteAll) {}
 
-  /** The disk ends its work: all so far is safe, or is not, and those who wait hear of it. */
+  /** Completes the pending syncs: all changes become durable, unless the disk fails. */
   void flush() {
     List<Consumer<Boolean>> callbacks = new ArrayList<>(syncCallbacks);
     syncCallbacks.clear();
@@ -62,7 +63,7 @@
     callbacks.forEach(whenSynced -> whenSynced.accept(!diskFails));
   }
 
-  /** A crash: of what was not safe a part that the seed draws lives, from the first on. */
+  /** Simulates a crash: of the unsynced changes only the first few survive, as drawn at random. */
   void crash(SplittableRandom random) {
     int surviving = unsyncedChanges.isEmpty() ? 0 : random.nextInt(unsyncedChanges.size() + 1);
     unsyncedChanges.subList(0, surviving).forEach(Runnable::run);
