--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -142,9 +142,9 @@
     Recovery recovery = front.recovery();
     LOG.info(
         "going on from state",
-        kv("standing", recovery.recoveredIn(Phase.STANDS)),
-        kv("cutShort", recovery.recoveredIn(Phase.SETTING_UP)),
-        kv("answersOnTheirWay", recovery.recoveredIn(Phase.ANSWERED)),
+        kv("standing", recovery.recoveredCalls(Phase.STANDS)),
+        kv("cutShort", recovery.recoveredCalls(Phase.SETTING_UP)),
+        kv("answersOnTheirWay", recovery.recoveredCalls(Phase.ANSWERED)),
         kv("damaged", recovery.damagedRecords()));
     watchRecovery();
   }
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -278,12 +278,12 @@
    * outstanding attempt. The store stays marked as out of date for that long, so that a crash in
    * the meantime does not lose this knowledge.
    */
-  public boolean mayMissPendingCalls() {
+  public boolean newCallsMayPredateRestart() {
     return outOfDate && scheduler.now() < startedAt + retransmissionWindowMillis;
   }
 
   /** Number of calls that the store held in a phase. */
-  public int recoveredIn(Phase phase) {
+  public int recoveredCalls(Phase phase) {
     return countsByPhase.getOrDefault(phase, 0);
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -75,7 +75,7 @@
     bed.ownSwitch.answer(attempt, "100 Trying", "", "");
     bed.run(5);
     bed.restart(100);
-    assertEquals(1, bed.front.recovery().recoveredIn(Phase.SETTING_UP));
+    assertEquals(1, bed.front.recovery().recoveredCalls(Phase.SETTING_UP));
     bed.caller.send(bed.place, invite);
     bed.run(50);
     assertEquals(List.of("503"), bed.finals());
@@ -210,7 +210,7 @@
     bed.restart(100);
     bed.run(100);
     assertEquals(0, bed.attempts().size());
-    assertEquals(0, bed.front.recovery().recoveredIn(Phase.SETTING_UP));
+    assertEquals(0, bed.front.recovery().recoveredCalls(Phase.SETTING_UP));
     assertEquals(List.of(), bed.finals());
   }
 
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -301,7 +301,7 @@
    */
   private boolean mayBeOld(CallLeg leg) {
     return recovery != null
-        && recovery.mayMissPendingCalls()
+        && recovery.newCallsMayPredateRestart()
         && leg.hop().transport() == Transport.UDP;
   }
 
