--- a/core/src/main/java/coveladder/core/CallController.java
+++ b/core/src/main/java/coveladder/core/CallController.java
@@ -22,7 +22,7 @@
  * requests. The controller makes no routing decisions; it guarantees that every attempt ends
  * exactly once and that every call gets one final answer.
  *
- * <p>Events that arise during a call of the policy are queued until that call returns.
+ * <p>Events that arise while the policy handles another event are queued until it returns.
  */
 public final class CallController {
   private final CallPolicy.Settings settings;
@@ -67,19 +67,23 @@
   /**
    * Creates a controller.
    *
+   * @param settings the settings of the policy
+   * @param signalling the protocol front end
+   * @param attemptGuard checks each set-up before it is sent
+   * @param observer receives each step of each call
    * @param policyFactory creates the policy, given the receiver of its actions
    */
   public CallController(
       CallPolicy.Settings settings,
       Signalling signalling,
-      AttemptGuard guard,
-      Observer journal,
+      AttemptGuard attemptGuard,
+      Observer observer,
       Function<CallPolicy.Actions, CallPolicy> policyFactory) {
     this.settings = settings;
     this.signalling = signalling;
     this.scheduler = signalling.scheduler();
-    this.attemptGuard = guard;
-    this.observer = journal;
+    this.attemptGuard = attemptGuard;
+    this.observer = observer;
     this.policy = policyFactory.apply(new PolicyActions());
   }
 
@@ -156,7 +160,7 @@
       giveFinalAnswer(tracked, new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE));
       return;
     }
-    tracked.patienceTimer(
+    tracked.setPatienceTimer(
         scheduler.schedule(Math.max(0, call.patience()), () -> patienceExpired(tracked)));
     dispatch(p -> p.onCall(scheduler.now(), call));
   }
@@ -380,7 +384,10 @@
     return result == ExchangeDirectory.UpdateResult.GAP;
   }
 
-  /** Circuit groups may be reported before the directory lists their remote exchange. */
+  /**
+   * Reports the circuits toward exchanges that were just listed: a circuit group may be reported
+   * before the directory lists its remote exchange.
+   */
   private void reportKnownCircuits(List<ExchangeDirectory.Entry> entries) {
     for (ExchangeDirectory.Entry entry : entries) {
       if (circuitGroups.toward(entry.number()) != null && directory.byId(entry.id()) != null) {
@@ -461,7 +468,10 @@
     }
   }
 
-  /** A call that may have taken effect has failed if its class is not safe to repeat. */
+  /**
+   * The kind of answer at shutdown: a call that may have taken effect has failed if its class is
+   * not safe to repeat anywhere.
+   */
   private FinalAnswer.Kind shutdownAnswer(TrackedCall tracked) {
     boolean safeToRetry =
         tracked.attemptCount() == 0
@@ -507,7 +517,7 @@
       }
       TrackedCall.Attempt current = new TrackedCall.Attempt(number, entry, scheduler.now());
       tracked.attemptStarted(current);
-      current.timeout =
+      current.timeoutTimer =
           scheduler.schedule(Math.max(0, timeoutMillis), () -> attemptTimedOut(tracked, current));
       ExchangeDirectory.Entry destination = directory.byNumber(tracked.call().destination());
       AttemptRequest request =
--- a/core/src/main/java/coveladder/core/TrackedCall.java
+++ b/core/src/main/java/coveladder/core/TrackedCall.java
@@ -25,7 +25,7 @@
     final int number;
     final ExchangeDirectory.Entry exchange;
     final double sentAt;
-    Scheduler.Timer timeout;
+    Scheduler.Timer timeoutTimer;
     LocalEnding ending = LocalEnding.NONE;
 
     Attempt(int number, ExchangeDirectory.Entry exchange, double sentAt) {
@@ -35,8 +35,8 @@
     }
 
     void cancelTimeout() {
-      if (timeout != null) {
-        timeout.cancel();
+      if (timeoutTimer != null) {
+        timeoutTimer.cancel();
       }
     }
   }
@@ -131,7 +131,7 @@
     established = true;
   }
 
-  void patienceTimer(Scheduler.Timer timer) {
+  void setPatienceTimer(Scheduler.Timer timer) {
     patienceTimer = timer;
   }
 }
--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -31,7 +31,7 @@
   /** Encodes a final answer other than 2xx as it will be sent, so that it can be sent again. */
   byte[] encodeFinalAnswer(String call, FinalAnswer answer);
 
-  /** A clock that continues across restarts, ms; it may have been set in the meantime. */
+  /** The wall clock, ms: it continues across restarts, but may have been set since the last one. */
   long wallClockMillis();
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -72,8 +72,9 @@
    * Restores the caller's leg of an interrupted set-up without sending anything, so that a
    * retransmission of its INVITE starts no second call.
    *
-   * @param whenCalledOff called on its CANCEL, with the task that sends the answer
-   * @param whenRepeated called when its INVITE arrives again, which shows that the caller waits
+   * @param whenCancelled called on its CANCEL, with the task that sends the answer
+   * @param whenRetransmitted called when its INVITE arrives again, which shows that the caller
+   *     waits
    */
   void restoreCallerLeg(
       SavedCall saved, Consumer<Runnable> whenCancelled, Runnable whenRetransmitted);
@@ -81,7 +82,7 @@
   /** Encodes a final answer for the caller of an interrupted set-up, as it will be sent. */
   byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer);
 
-  /** Sends the final answer to a caller that had cancelled once more. */
+  /** Sends once more the final answer to a caller that had cancelled. */
   void answerCancelled(SavedCall saved);
 
   /** Sends the final answer that is stored with a call to its caller. */
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -19,8 +19,8 @@
  * the recovery rate.
  */
 public final class Recovery {
-  private static final int MAX_VERIFICATIONS = 3;
-  private static final double VERIFICATION_RETRY_MILLIS = 5_000;
+  private static final int MAX_REQUESTS_PER_END = 3;
+  private static final double RETRY_BACKOFF_MILLIS = 5_000;
 
   private final CallController controller;
   private final WriteAheadSignalling signalling;
@@ -42,17 +42,17 @@
   private int answeredCallers;
   private int releasedCalls;
 
-  /** A call that was interrupted by the restart and whose caller may wait for its final answer. */
+  /** A call interrupted by the restart, whose caller waits for its final answer or may do so. */
   private static final class InterruptedCall {
     private SavedCall saved;
-    private boolean answerPending;
+    private boolean answerInProgress;
 
     InterruptedCall(SavedCall saved) {
       this.saved = saved;
     }
   }
 
-  /** A question to one end of a call whether the call still exists there. */
+  /** A check whether a call still exists at one of its ends, with the requests sent so far. */
   private record Verification(String call, boolean callerSide, int requestsSent) {}
 
   /**
@@ -127,7 +127,7 @@
 
   /** The caller cancels; one that has its final answer, or is about to get it, gets no other. */
   private void callerCancelled(InterruptedCall interrupted, Runnable sendAnswer) {
-    if (interrupted.saved.hasAnswer() && !interrupted.answerPending) {
+    if (interrupted.saved.hasAnswer() && !interrupted.answerInProgress) {
       legs.resendFinalAnswer(interrupted.saved);
     } else if (!interrupted.saved.hasAnswer() && !interrupted.saved.isCancelled()) {
       interrupted.saved = interrupted.saved.asCancelled();
@@ -160,7 +160,10 @@
 
   // ---- Interrupted set-ups, answers in flight -------------------------------------------------
 
-  /** Ends one interrupted set-up or sends one answer again, and schedules the next. */
+  /**
+   * Ends one interrupted set-up or sends one answer again, and schedules the next. These have
+   * priority over the verification of established calls, as their callers wait.
+   */
   private void processNextInterrupted() {
     InterruptedCall next = interruptedCalls.poll();
     if (next == null) {
@@ -197,14 +200,15 @@
   private void refuseInterrupted(InterruptedCall interrupted) {
     answeredCallers++;
     FinalAnswer answer = new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE);
-    interrupted.answerPending = true;
+    interrupted.answerInProgress = true;
     interrupted.saved =
         interrupted.saved.withAnswer(legs.encodeInterruptedAnswer(interrupted.saved, answer));
     persistThen(interrupted.saved, () -> legs.resendFinalAnswer(interrupted.saved));
   }
 
   /**
-   * Sends an answer that may not have been sent, but never late: the caller may already have it.
+   * Sends a stored answer again, as it may not have been sent before the restart, but only to a
+   * caller that is known to wait: one that already has the answer needs no other.
    */
   private void resendIfWaiting(SavedCall saved) {
     if (isCallerWaiting(saved)) {
@@ -256,14 +260,15 @@
   private void verified(Verification verification, CallLegs.LegStatus status) {
     boolean ended = controller.call(verification.call()) == null;
     boolean retry =
-        status == CallLegs.LegStatus.UNKNOWN && verification.requestsSent() + 1 < MAX_VERIFICATIONS;
+        status == CallLegs.LegStatus.UNKNOWN
+            && verification.requestsSent() + 1 < MAX_REQUESTS_PER_END;
     if (ended || status == CallLegs.LegStatus.ACTIVE) {
       unfinishedVerifications--;
     } else if (retry) {
       Verification next =
           new Verification(
               verification.call(), verification.callerSide(), verification.requestsSent() + 1);
-      scheduler.schedule(VERIFICATION_RETRY_MILLIS * next.requestsSent(), () -> verify(next));
+      scheduler.schedule(RETRY_BACKOFF_MILLIS * next.requestsSent(), () -> verify(next));
     } else {
       unfinishedVerifications--;
       releasedCalls++;
--- a/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
+++ b/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
@@ -14,7 +14,7 @@
   private final Budget budget;
   private final double coldShare;
   private final double rampTimeMillis;
-  private double share = 1;
+  private double budgetShare = 1;
   private double changedAt;
 
   /**
@@ -30,7 +30,7 @@
         throw new IllegalArgumentException(
             "unusable recovery budget "
                 + callsPerSecond
-                + " a second after "
+                + " calls per second after "
                 + verifyDelayMillis
                 + " ms");
       }
@@ -56,12 +56,12 @@
 
   /** The local processor rejected something: halves the rate. */
   public void rejectedByProcessor(double now) {
-    share = Math.max(MIN_SHARE, share(now) / 2);
+    budgetShare = Math.max(MIN_SHARE, budgetShare(now) / 2);
     changedAt = now;
   }
 
-  private double share(double now) {
-    return Math.min(1, share + (now - changedAt) / FULL_REGROWTH_MILLIS);
+  private double budgetShare(double now) {
+    return Math.min(1, budgetShare + (now - changedAt) / FULL_REGROWTH_MILLIS);
   }
 
   /**
@@ -70,7 +70,7 @@
    * @param startedAt clock at which the local processor started, ms; 0: long ago
    */
   double intervalMillis(double now, double startedAt) {
-    return 1000 / (budget.callsPerSecond() * share(now) * capacityShare(now, startedAt));
+    return 1000 / (budget.callsPerSecond() * budgetShare(now) * capacityShare(now, startedAt));
   }
 
   private double capacityShare(double now, double startedAt) {
--- a/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -46,6 +46,9 @@
   /**
    * Creates the write-ahead layer.
    *
+   * @param delegate the protocol front end
+   * @param legs encodes the legs of calls
+   * @param store the persistent store of calls
    * @param answerRetentionMillis time for which a final answer other than 2xx is stored, for
    *     retransmissions of its INVITE, ms (64*T1)
    */
@@ -109,7 +112,10 @@
     afterSync(() -> startSyncedAttempt(request, entry));
   }
 
-  /** Runs the action once all changes so far are durable, or the disk has failed, which counts. */
+  /**
+   * Runs the action once all changes so far are durable. If the disk failed, the action runs
+   * unpersisted and is counted.
+   */
   private void afterSync(Runnable action) {
     store.sync(
         persisted -> {
@@ -190,9 +196,7 @@
     }
   }
 
-  /**
-   * An established call has changed, such as in an address; the change is stored without a sync.
-   */
+  /** Stores a change of an established call, such as a new address, without waiting for a sync. */
   public void callChanged(String call) {
     Entry entry = entries.get(call);
     if (entry != null && entry.saved.phase() == Phase.STANDS) {
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -33,7 +33,8 @@
 /**
  * Kills the controller at every write and every message of a scripted run, once and twice, and
  * restarts it from its store. The peers keep running: they check that no call has two attempts
- * outstanding together and that none gets two different final answers, across all restarts.
+ * outstanding together, gets an attempt after its final answer or gets two different final answers,
+ * across all restarts.
  */
 class CrashTest {
   private static final int CALLS = 6;
@@ -81,7 +82,8 @@
   private int boundaries;
   private int killAt = Integer.MAX_VALUE;
 
-  private void boundary() {
+  /** Counts one boundary, a write or a message, and kills the process at the chosen one. */
+  private void passBoundary() {
     if (++boundaries == killAt) {
       throw new Killed();
     }
@@ -190,14 +192,14 @@
 
     @Override
     public void startAttempt(AttemptRequest request) {
-      boundary();
+      passBoundary();
       peers.invite(request.call() + "/" + request.attempt());
-      boundary();
+      passBoundary();
     }
 
     @Override
     public void cancelAttempt(String call, int attempt) {
-      boundary();
+      passBoundary();
       String key = call + "/" + attempt;
       if (peers.attempts.replace(key, "ended") != null) {
         schedule(
@@ -207,21 +209,21 @@
 
     @Override
     public void releaseAttempt(String call, int attempt) {
-      boundary();
+      passBoundary();
       peers.attempts.replace(call + "/" + attempt, "ended");
     }
 
     @Override
     public void answer(String call, FinalAnswer answer) {
-      boundary();
+      passBoundary();
       boolean established = answer.kind() == FinalAnswer.Kind.STANDS;
       peers.answer(call, established ? "200" : answer.kind().name());
-      boundary();
+      passBoundary();
     }
 
     @Override
     public void releaseCaller(String call, boolean disconnected) {
-      boundary();
+      passBoundary();
       peers.callerReleased.put(call, true);
     }
 
@@ -280,7 +282,7 @@
 
     @Override
     public void resume(SavedCall saved, boolean answerDue, int incarnation) {
-      boundary();
+      passBoundary();
       if (answerDue) {
         peers.answer(saved.id(), "200");
       }
@@ -288,7 +290,7 @@
 
     @Override
     public void verify(String call, boolean callerSide, Consumer<LegStatus> result) {
-      boundary();
+      passBoundary();
       int attempt = controller.call(call).attemptCount() - 1;
       boolean remoteActive =
           peers.attempts.getOrDefault(call + "/" + attempt, "").equals("established");
@@ -312,7 +314,7 @@
 
     @Override
     public void cancelAfterRestart(SavedCall saved, Runnable whenEnded) {
-      boundary();
+      passBoundary();
       peers.attempts.replace(saved.id() + "/" + saved.attempt(), "ended");
       schedule(1, whenEnded);
     }
@@ -324,13 +326,13 @@
 
     @Override
     public void answerCancelled(SavedCall saved) {
-      boundary();
+      passBoundary();
       peers.answer(saved.id(), "487");
     }
 
     @Override
     public void resendFinalAnswer(SavedCall saved) {
-      boundary();
+      passBoundary();
       peers.answer(saved.id(), new String(saved.answer(), StandardCharsets.UTF_8));
     }
   }
@@ -440,11 +442,11 @@
   /**
    * Runs the script and kills each run of the controller at the given boundary.
    *
-   * @return number of boundaries that the run which completed the script has passed by then
+   * @return number of boundaries that the run which completed the script passed
    */
   private int runScript(long seed, boolean diskFails, int... killBoundaries) {
     SplittableRandom random = new SplittableRandom(seed);
-    MemoryStore store = new MemoryStore(this::boundary);
+    MemoryStore store = new MemoryStore(this::passBoundary);
     store.diskFails = diskFails;
     List<Consumer<Incarnation>> steps = script(peers);
     int nextStep = 0;
