--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -12,8 +12,8 @@
 import coveladder.rehearsal.Verdict;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
-import coveladder.standin.CallPlan;
-import coveladder.standin.StandinCallers.Fate;
+import coveladder.standin.PlannedCall;
+import coveladder.standin.StandinCallers.CallResult;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.DatagramSocket;
@@ -52,7 +52,7 @@
   private final SplittableRandom random;
   private final FleetPlan plan;
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final Map<String, CallPlan> stood = new TreeMap<>();
+  private final Map<String, PlannedCall> stood = new TreeMap<>();
   private final List<Double> pauses = new ArrayList<>();
   private final List<Double> downs = new ArrayList<>();
   private SocketWorld world;
@@ -192,16 +192,17 @@
   private boolean run(Map<Integer, Hop> places) throws IOException, InterruptedException {
     double lasts = 1_000.0 * calls / (plan.rate() * plan.exchanges());
     double begin = world.now() + BEGIN;
-    List<CallPlan> plans = new ArrayList<>();
-    for (CallPlan call : new Load(plan, seed).until(lasts)) {
-      plans.add(call.later(begin));
+    List<PlannedCall> plans = new ArrayList<>();
+    for (PlannedCall call : new Load(plan, seed).until(lasts)) {
+      plans.add(call.delayedBy(begin));
     }
     fleet.calls(plans);
     Thread ender = new Thread(() -> endAndBegin(begin, lasts), "ender");
     ender.start();
-    world.run(begin + lasts + SETTLE, () -> world.now() > begin + lasts && fleet.callers().done());
+    world.run(
+        begin + lasts + SETTLE, () -> world.now() > begin + lasts && fleet.callers().isDone());
     ender.join();
-    world.run(world.now() + SETTLE, () -> fleet.trunks().busy() == 0);
+    world.run(world.now() + SETTLE, () -> fleet.trunks().busyCircuits() == 0);
     world.run(world.now() + 1_000, () -> false);
     return report(places, plans.size());
   }
@@ -266,7 +267,10 @@
         world.now(),
         "callers",
         () -> {
-          fleet.callers().standing(number).forEach(call -> stood.put(call.session(), call));
+          fleet
+              .callers()
+              .establishedCalls(number)
+              .forEach(call -> stood.put(call.sessionIdPrefix(), call));
           noted.countDown();
         });
     noted.await(5, TimeUnit.SECONDS);
@@ -283,13 +287,13 @@
     }
     Verdict verdict =
         Rehearsal.judge(new OutsideView(places, peers).with(world.tap().entries()), plan);
-    List<Fate> fates = fleet.fates();
+    List<CallResult> fates = fleet.fates();
     out.println(new ServiceReport(plan, fates));
     out.println(verdict);
     survivors(fates);
     times();
     int open = planned - fates.size();
-    int held = fleet.trunks().busy();
+    int held = fleet.trunks().busyCircuits();
     int errors = printErrors();
     out.printf("%d calls, %d without an end, %d circuits still held%n", planned, open, held);
     boolean clean = verdict.breaches() == 0 && open == 0 && held == 0 && errors == 0;
@@ -297,15 +301,16 @@
     return clean;
   }
 
-  private void survivors(List<Fate> fates) {
+  private void survivors(List<CallResult> fates) {
     out.println("calls that stood when their controller ended:");
     for (FleetPlan.Kind kind : plan.kinds()) {
-      List<Fate> own =
+      List<CallResult> own =
           fates.stream()
-              .filter(fate -> fate.plan().priority().equals(kind.priority()))
-              .filter(fate -> stood.containsKey(fate.plan().session()))
+              .filter(fate -> fate.plannedCall().priority().equals(kind.priority()))
+              .filter(fate -> stood.containsKey(fate.plannedCall().sessionIdPrefix()))
               .toList();
-      long kept = own.stream().filter(fate -> !fate.cut() && !fate.ended()).count();
+      long kept =
+          own.stream().filter(fate -> !fate.disconnected() && !fate.endedByRemote()).count();
       out.printf("  %-15s %6d stood  %6d stood on to their end%n", kind.name(), own.size(), kept);
     }
   }
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -8,10 +8,10 @@
 import coveladder.rehearsal.FleetPlan;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
-import coveladder.standin.StandinList;
+import coveladder.standin.StandinDirectory;
 import coveladder.standin.StandinSwitch;
-import coveladder.standin.SwitchPlan;
-import coveladder.standin.Trunks;
+import coveladder.standin.SwitchConfig;
+import coveladder.standin.TrunkNetwork;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -84,22 +84,22 @@
   private void raise(Sockets sockets, EventLoop loop, FleetPlan plan) throws IOException {
     Map<String, Hop> places = new HashMap<>();
     Map<String, Integer> numbers = new HashMap<>();
-    List<StandinList.Line> lines = new ArrayList<>();
-    Trunks trunks = new Trunks();
+    List<StandinDirectory.Entry> lines = new ArrayList<>();
+    TrunkNetwork trunks = new TrunkNetwork();
     for (int i = 0; i < exchanges; i++) {
       Hop place = new Hop(Transport.UDP, HOST, basePort + SWITCHES + i);
       places.put(Fleet.domain(i), place);
       numbers.put(Fleet.domain(i), i);
       String address = "sip:" + HOST + ':' + place.port();
       String domain = Fleet.domain(i);
-      lines.add(new StandinList.Line("x" + i + "-0", i, domain, address, "in-service", -1));
+      lines.add(new StandinDirectory.Entry("x" + i + "-0", i, domain, address, "in-service", -1));
       for (int j = i + 1; j < exchanges; j++) {
-        trunks.lay(i, j, plan.trunk());
+        trunks.addGroup(i, j, plan.trunk());
       }
     }
     SocketNode listNode = node(sockets, loop, basePort);
-    StandinList list = new StandinList(listNode, plan.timing(), plan.listLateness());
-    list.enter(lines);
+    StandinDirectory list = new StandinDirectory(listNode, plan.timing(), plan.listLateness());
+    list.addEntries(lines);
     listNode.start(list);
     for (int i = 0; i < exchanges; i++) {
       SocketNode node = node(sockets, loop, basePort + SWITCHES + i);
@@ -107,12 +107,12 @@
     }
   }
 
-  private SwitchPlan plan(
+  private SwitchConfig plan(
       FleetPlan plan, int number, Map<String, Hop> places, Map<String, Integer> numbers) {
     Map<String, Integer> widths = new HashMap<>();
     plan.kinds().forEach(kind -> widths.put(kind.priority(), kind.width()));
     Hop controller = new Hop(Transport.UDP, HOST, basePort + CONTROLLERS + number);
-    return new SwitchPlan(
+    return new SwitchConfig(
         number,
         Fleet.domain(number),
         controller,
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -12,10 +12,10 @@
 import coveladder.rehearsal.FleetPlan;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
-import coveladder.standin.StandinList;
+import coveladder.standin.StandinDirectory;
 import coveladder.standin.StandinSwitch;
-import coveladder.standin.SwitchPlan;
-import coveladder.standin.Trunks;
+import coveladder.standin.SwitchConfig;
+import coveladder.standin.TrunkNetwork;
 import java.net.DatagramSocket;
 import java.util.List;
 import java.util.Map;
@@ -44,12 +44,12 @@
     FleetPlan plan = FleetPlan.eight().sized(2, 1);
     Transport by = Transport.fromName(transport);
     Hop calleePlace = new Hop(by, HOST, callee.port());
-    StandinList list = new StandinList(listNode, plan.timing(), 10);
-    list.enter(List.of(line(0, switchNode.port()), line(1, callee.port())));
-    Trunks trunks = new Trunks();
-    trunks.lay(0, 1, 10);
-    SwitchPlan switchPlan =
-        new SwitchPlan(
+    StandinDirectory list = new StandinDirectory(listNode, plan.timing(), 10);
+    list.addEntries(List.of(line(0, switchNode.port()), line(1, callee.port())));
+    TrunkNetwork trunks = new TrunkNetwork();
+    trunks.addGroup(0, 1, 10);
+    SwitchConfig switchPlan =
+        new SwitchConfig(
             0,
             "x0.example",
             new Hop(Transport.UDP, HOST, controllerPort),
@@ -78,9 +78,9 @@
     }
   }
 
-  private static StandinList.Line line(int number, int port) {
+  private static StandinDirectory.Entry line(int number, int port) {
     String domain = "x" + number + ".example";
-    return new StandinList.Line(
+    return new StandinDirectory.Entry(
         "e" + number, number, domain, "sip:" + HOST + ':' + port, "in-service", -1);
   }
 
--- a/rehearsal/src/main/java/coveladder/rehearsal/Days.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Days.java
@@ -49,14 +49,14 @@
   }
 
   private static void badScript(World world, Fleet fleet) {
-    world.at(9_000, LIST, () -> fleet.exchange(1).processor().silent(true));
-    world.at(17_000, LIST, () -> fleet.exchange(1).processor().silent(false));
+    world.at(9_000, LIST, () -> fleet.exchange(1).processor().setSilent(true));
+    world.at(17_000, LIST, () -> fleet.exchange(1).processor().setSilent(false));
     for (int i = 0; i < 4; i++) {
       int exchange = 2 + i % 3;
       world.at(13_000 + 2_000 * i, LIST, () -> fleet.exchange(exchange).processor().stall(450));
     }
-    world.at(16_000, LIST, () -> fleet.exchange(6).processor().slow(3));
-    world.at(24_000, LIST, () -> fleet.exchange(6).processor().slow(1));
+    world.at(16_000, LIST, () -> fleet.exchange(6).processor().setSlowdown(3));
+    world.at(24_000, LIST, () -> fleet.exchange(6).processor().setSlowdown(1));
     world.at(19_000, "controller-4", () -> world.freeze("controller-4", 1_600));
     world.at(19_200, "controller-5", () -> world.freeze("controller-5", 2_400));
     world.at(22_000, LIST, () -> fleet.drain(3));
@@ -74,7 +74,7 @@
 
   private static void cutAll(Fleet fleet, double share) {
     for (int i = 0; i < fleet.plan().exchanges(); i++) {
-      fleet.exchange(i).cut(share);
+      fleet.exchange(i).disconnect(share);
     }
   }
 
@@ -174,8 +174,8 @@
     double lasts = 500 + random.nextDouble() * 3_000;
     switch (random.nextInt(9)) {
       case 0 -> {
-        world.at(at, LIST, () -> fleet.exchange(exchange).processor().silent(true));
-        world.at(at + lasts, LIST, () -> fleet.exchange(exchange).processor().silent(false));
+        world.at(at, LIST, () -> fleet.exchange(exchange).processor().setSilent(true));
+        world.at(at + lasts, LIST, () -> fleet.exchange(exchange).processor().setSilent(false));
       }
       case 1 -> world.at(at, LIST, () -> fleet.exchange(exchange).processor().stall(lasts / 4));
       case 2 -> world.at(at, controller, () -> world.freeze(controller, lasts / 2));
@@ -192,8 +192,8 @@
       }
       case 6 -> world.at(at, LIST, () -> cutAll(fleet, 0.4));
       case 7 -> {
-        world.at(at, LIST, () -> fleet.exchange(exchange).processor().slow(4));
-        world.at(at + lasts, LIST, () -> fleet.exchange(exchange).processor().slow(1));
+        world.at(at, LIST, () -> fleet.exchange(exchange).processor().setSlowdown(4));
+        world.at(at + lasts, LIST, () -> fleet.exchange(exchange).processor().setSlowdown(1));
       }
       default -> {
         world.at(at, LIST, () -> fleet.stop(exchange));
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -9,13 +9,13 @@
 import coveladder.sipfront.ClassTable;
 import coveladder.sipfront.FrontSettings;
 import coveladder.sipfront.SipFront;
-import coveladder.standin.CallPlan;
+import coveladder.standin.PlannedCall;
 import coveladder.standin.Processor;
 import coveladder.standin.StandinCallers;
-import coveladder.standin.StandinList;
+import coveladder.standin.StandinDirectory;
 import coveladder.standin.StandinSwitch;
-import coveladder.standin.SwitchPlan;
-import coveladder.standin.Trunks;
+import coveladder.standin.SwitchConfig;
+import coveladder.standin.TrunkNetwork;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -33,13 +33,14 @@
   private final long seed;
   private final Tampering tampering;
   private final Lives lives;
-  private final Trunks trunks = new Trunks();
+  private final TrunkNetwork trunks = new TrunkNetwork();
   private final Map<Integer, SipFront> controllers = new TreeMap<>();
   private final Map<Integer, StandinSwitch> switches = new TreeMap<>();
-  private final Map<Integer, StandinList.Line> lines = new TreeMap<>();
+  private final Map<Integer, StandinDirectory.Entry> lines = new TreeMap<>();
   private final Map<Integer, Hop> controllerPlaces = new LinkedHashMap<>();
-  private final List<StandinCallers.Fate> fates = Collections.synchronizedList(new ArrayList<>());
-  private StandinList list;
+  private final List<StandinCallers.CallResult> fates =
+      Collections.synchronizedList(new ArrayList<>());
+  private StandinDirectory list;
   private StandinCallers callers;
   private int generation;
 
@@ -84,7 +85,7 @@
   private void layTrunks() {
     for (int i = 0; i < plan.exchanges(); i++) {
       for (int j = i + 1; j < plan.exchanges(); j++) {
-        trunks.lay(i, j, plan.trunk());
+        trunks.addGroup(i, j, plan.trunk());
       }
     }
   }
@@ -116,7 +117,8 @@
 
   private void addStandins() {
     list =
-        world.add("list", CREW, host -> new StandinList(host, plan.timing(), plan.listLateness()));
+        world.add(
+            "list", CREW, host -> new StandinDirectory(host, plan.timing(), plan.listLateness()));
     Map<String, Hop> places = new HashMap<>();
     Map<String, Integer> numbers = new HashMap<>();
     for (int i = 0; i < plan.exchanges(); i++) {
@@ -124,15 +126,16 @@
       places.put(domain(i), place);
       numbers.put(domain(i), i);
       String address = "sip:" + place.host() + ':' + place.port();
-      lines.put(i, new StandinList.Line("x" + i + "-0", i, domain(i), address, "in-service", -1));
+      lines.put(
+          i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), address, "in-service", -1));
     }
-    list.enter(List.copyOf(lines.values()));
+    list.addEntries(List.copyOf(lines.values()));
     for (int i = 0; i < plan.exchanges(); i++) {
-      SwitchPlan switchPlan = switchPlan(i, places, numbers);
+      SwitchConfig switchPlan = switchPlan(i, places, numbers);
       switches.put(
           i, world.add(switchName(i), CREW, host -> new StandinSwitch(host, switchPlan, trunks)));
     }
-    StandinCallers.Habits habits = new StandinCallers.Habits(600, 0.5, 400);
+    StandinCallers.Behaviour habits = new StandinCallers.Behaviour(600, 0.5, 400);
     callers =
         world.add(
             "callers",
@@ -140,10 +143,11 @@
             host -> new StandinCallers(host, plan.timing(), controllerPlaces, habits, fates::add));
   }
 
-  private SwitchPlan switchPlan(int number, Map<String, Hop> places, Map<String, Integer> numbers) {
+  private SwitchConfig switchPlan(
+      int number, Map<String, Hop> places, Map<String, Integer> numbers) {
     Map<String, Integer> widths = new HashMap<>();
     plan.kinds().forEach(kind -> widths.put(kind.priority(), kind.width()));
-    return new SwitchPlan(
+    return new SwitchConfig(
         number,
         domain(number),
         controllerPlaces.get(number),
@@ -211,8 +215,8 @@
   // ---- What scripts do ----------------------------------------------------------------------
 
   /** Sets the calls to be made. */
-  public void calls(List<CallPlan> plans) {
-    callers.plan(plans);
+  public void calls(List<PlannedCall> plans) {
+    callers.setPlannedCalls(plans);
   }
 
   /** What kills controllers and starts them again; null where that is not part of the day. */
@@ -236,7 +240,7 @@
   }
 
   /** The circuit groups. */
-  public Trunks trunks() {
+  public TrunkNetwork trunks() {
     return trunks;
   }
 
@@ -246,18 +250,18 @@
   }
 
   /** What became of each call that is over. */
-  public List<StandinCallers.Fate> fates() {
+  public List<StandinCallers.CallResult> fates() {
     return List.copyOf(fates);
   }
 
   /** The list says that an exchange drains. On the stand-ins' thread. */
   public void drain(int number) {
-    list.change(List.of(lines.get(number).in("draining")));
+    list.scheduleUpdate(List.of(lines.get(number).withState("draining")));
   }
 
   /** A processor stops: calls through it are cut, its connections reset. */
   public void stop(int number) {
-    switches.get(number).cutAll();
+    switches.get(number).disconnectAll();
     switches.get(number).stop();
     world.reachable(switchName(number), false);
   }
@@ -265,9 +269,9 @@
   /** A new processor takes the place of one that stopped; it begins cold. */
   public void startCold(int number) {
     generation++;
-    StandinList.Line old = lines.get(number);
-    StandinList.Line fresh =
-        new StandinList.Line(
+    StandinDirectory.Entry old = lines.get(number);
+    StandinDirectory.Entry fresh =
+        new StandinDirectory.Entry(
             "x" + number + "-" + generation,
             number,
             old.domain(),
@@ -282,17 +286,17 @@
             world.now(),
             switchName(number),
             "cold "
-                + model.setup()
+                + model.setupMillis()
                 + ' '
-                + model.coldFrom()
+                + model.coldShare()
                 + ' '
-                + model.ramp()
+                + model.rampMillis()
                 + ' '
-                + model.fallMultiple()
+                + model.coldMultiple()
                 + ' '
-                + model.fall());
+                + model.coldWindowMillis());
     world.reachable(switchName(number), true);
     switches.get(number).startCold();
-    list.change(List.of(old.in("gone"), fresh));
+    list.scheduleUpdate(List.of(old.withState("gone"), fresh));
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/FleetPlan.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/FleetPlan.java
@@ -124,9 +124,9 @@
         false,
         GUARD,
         timing.t1(),
-        processor.coldFrom(),
-        processor.ramp(),
-        processor.fallMultiple(),
-        processor.fall());
+        processor.coldShare(),
+        processor.rampMillis(),
+        processor.coldMultiple(),
+        processor.coldWindowMillis());
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
@@ -4,7 +4,7 @@
 import coveladder.core.recovery.RecoveryRate;
 import coveladder.sip.SipHost;
 import coveladder.sipfront.SipFront;
-import coveladder.standin.CallPlan;
+import coveladder.standin.PlannedCall;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -27,7 +27,7 @@
   private final Map<String, SimDisk> disks = new HashMap<>();
   private final Map<String, Integer> armed = new HashMap<>();
   private final Map<String, Boolean> down = new HashMap<>();
-  private final Map<String, CallPlan> stood = new TreeMap<>();
+  private final Map<String, PlannedCall> stood = new TreeMap<>();
   private long boundaries;
   private long crashAt = -1;
   private double downFor = 400;
@@ -100,7 +100,10 @@
 
   private void crashed(String name) {
     kills++;
-    fleet.callers().standing(number(name)).forEach(plan -> stood.put(plan.session(), plan));
+    fleet
+        .callers()
+        .establishedCalls(number(name))
+        .forEach(plan -> stood.put(plan.sessionIdPrefix(), plan));
     armed.remove(name);
     down.put(name, true);
     disks.get(name).crash();
@@ -117,7 +120,7 @@
   }
 
   /** Calls that stood at some kill of their controller, by session. */
-  public Map<String, CallPlan> stood() {
+  public Map<String, PlannedCall> stood() {
     return stood;
   }
 
--- a/rehearsal/src/main/java/coveladder/rehearsal/Load.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Load.java
@@ -1,7 +1,7 @@
 package coveladder.rehearsal;
 
 import coveladder.sip.Transport;
-import coveladder.standin.CallPlan;
+import coveladder.standin.PlannedCall;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -44,8 +44,8 @@
   }
 
   /** Draws the calls from the beginning to a clock time, in their order. */
-  public List<CallPlan> until(double end) {
-    List<CallPlan> calls = new ArrayList<>();
+  public List<PlannedCall> until(double end) {
+    List<PlannedCall> calls = new ArrayList<>();
     double most = surges.stream().mapToDouble(Surge::times).max().orElse(1);
     double rate = plan.exchanges() * plan.rate() * Math.max(1, most) / 1000;
     double at = 500;
@@ -73,7 +73,7 @@
     return times;
   }
 
-  private CallPlan call(int index, double at, int from) {
+  private PlannedCall call(int index, double at, int from) {
     FleetPlan.Kind kind = kind();
     String crowd = crowd(at);
     boolean joins = crowd != null && from != 0 && random.nextDouble() < 0.4;
@@ -81,7 +81,7 @@
     String number =
         joins ? crowd : "555" + String.format(Locale.ROOT, "%04d", random.nextInt(9000) + 1000);
     String session = String.format(Locale.ROOT, "%016x%08x", random.nextLong(), index);
-    return new CallPlan(
+    return new PlannedCall(
         at,
         session,
         from,
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -1,7 +1,7 @@
 package coveladder.rehearsal;
 
-import coveladder.standin.CallPlan;
-import coveladder.standin.StandinCallers.Fate;
+import coveladder.standin.PlannedCall;
+import coveladder.standin.StandinCallers.CallResult;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
@@ -29,7 +29,7 @@
   public record Result(
       Verdict verdict,
       int calls,
-      List<Fate> fates,
+      List<CallResult> fates,
       long messages,
       int circuitsHeld,
       FleetPlan plan,
@@ -67,10 +67,10 @@
   /** The same with something in between, such as a mutation. */
   static Result play(World world, Day day, long seed, Tampering tampering, Lives lives) {
     Fleet fleet = new Fleet(world, day.plan(), seed, tampering, lives);
-    List<CallPlan> calls = day.load().apply(seed).until(day.lasts());
+    List<PlannedCall> calls = day.load().apply(seed).until(day.lasts());
     fleet.calls(calls);
     day.script().accept(world, fleet);
-    world.run(day.lasts() + SETTLE, () -> world.now() > day.lasts() && fleet.callers().done());
+    world.run(day.lasts() + SETTLE, () -> world.now() > day.lasts() && fleet.callers().isDone());
     world.run(world.now() + (lives == null ? 2_000 : LET_GO), () -> false);
     List<Tap.Entry> entries = world.tap().entries();
     Verdict verdict = judge(entries, day.plan());
@@ -79,7 +79,7 @@
         calls.size(),
         fleet.fates(),
         entries.stream().filter(e -> e.kind() == Tap.Kind.SENT).count(),
-        fleet.trunks().busy(),
+        fleet.trunks().busyCircuits(),
         day.plan(),
         lives);
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
@@ -1,16 +1,16 @@
 package coveladder.rehearsal;
 
-import coveladder.standin.StandinCallers.Fate;
+import coveladder.standin.StandinCallers.CallResult;
 import java.util.List;
 import java.util.Locale;
 
 /** Service by class: the worth of calls that stood in time and were not cut, over that offered. */
 public final class ServiceReport {
   private final FleetPlan plan;
-  private final List<Fate> fates;
+  private final List<CallResult> fates;
 
   /** Makes a report. */
-  public ServiceReport(FleetPlan plan, List<Fate> fates) {
+  public ServiceReport(FleetPlan plan, List<CallResult> fates) {
     this.plan = plan;
     this.fates = fates;
   }
@@ -20,7 +20,7 @@
     double offered = 0;
     double served = 0;
     for (FleetPlan.Kind kind : plan.kinds()) {
-      List<Fate> own = of(kind);
+      List<CallResult> own = of(kind);
       offered += kind.worth() * own.size();
       served += kind.worth() * own.stream().mapToDouble(fate -> earned(kind, fate)).sum();
     }
@@ -29,19 +29,19 @@
 
   /** Share of a class's calls, late ones by what they still earn. */
   public double service(FleetPlan.Kind kind) {
-    List<Fate> own = of(kind);
+    List<CallResult> own = of(kind);
     return own.stream().mapToDouble(fate -> earned(kind, fate)).sum() / own.size();
   }
 
-  private List<Fate> of(FleetPlan.Kind kind) {
-    return fates.stream().filter(f -> f.plan().priority().equals(kind.priority())).toList();
+  private List<CallResult> of(FleetPlan.Kind kind) {
+    return fates.stream().filter(f -> f.plannedCall().priority().equals(kind.priority())).toList();
   }
 
-  private static double earned(FleetPlan.Kind kind, Fate fate) {
-    if (fate.stoodAfter() < 0 || fate.cut()) {
+  private static double earned(FleetPlan.Kind kind, CallResult fate) {
+    if (fate.establishedAfterMillis() < 0 || fate.disconnected()) {
       return 0;
     }
-    return fate.stoodAfter() <= kind.aim() ? 1 : kind.late();
+    return fate.establishedAfterMillis() <= kind.aim() ? 1 : kind.late();
   }
 
   @Override
@@ -50,10 +50,11 @@
     String head = "class             calls  in time    late     cut  not set up  service%n";
     out.append(String.format(Locale.ROOT, head));
     for (FleetPlan.Kind kind : plan.kinds()) {
-      List<Fate> own = of(kind);
-      long stood = own.stream().filter(f -> f.stoodAfter() >= 0 && !f.cut()).count();
+      List<CallResult> own = of(kind);
+      long stood =
+          own.stream().filter(f -> f.establishedAfterMillis() >= 0 && !f.disconnected()).count();
       long inTime = own.stream().filter(f -> earned(kind, f) == 1).count();
-      long cut = own.stream().filter(Fate::cut).count();
+      long cut = own.stream().filter(CallResult::disconnected).count();
       out.append(
           String.format(
               Locale.ROOT,
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -116,7 +116,7 @@
           world.at(1_000, "list", () -> fleet.drain(3));
           world.at(5_500, "list", () -> fleet.stop(3));
           world.at(5_900, "list", () -> fleet.startCold(3));
-          world.at(3_000, "list", () -> fleet.exchange(0).processor().slow(4));
+          world.at(3_000, "list", () -> fleet.exchange(0).processor().setSlowdown(4));
           for (int i = 0; i < 8; i++) {
             world.at(3_500 + 200 * i, "list", () -> world.resetConnections("controller-0"));
           }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -60,8 +60,8 @@
       Rehearsal.Result result = SeedSweep.restarts(Days.boundaries(), 2, boundary);
       Set<String> cut =
           result.fates().stream()
-              .filter(fate -> fate.cut() || fate.ended())
-              .map(fate -> fate.plan().session())
+              .filter(fate -> fate.disconnected() || fate.endedByRemote())
+              .map(fate -> fate.plannedCall().sessionIdPrefix())
               .collect(Collectors.toCollection(TreeSet::new));
       cut.retainAll(result.lives().stood().keySet());
       assertEquals(1, result.lives().kills());
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -17,7 +17,7 @@
   private double started = Double.NEGATIVE_INFINITY;
   private double slowness = 1;
   private double stalledUntil;
-  private boolean silent;
+  private boolean setSilent;
   private boolean down;
   private boolean fallen;
   private long epoch;
@@ -28,28 +28,28 @@
   /**
    * Figures of a processor.
    *
-   * @param setup work of a set-up, ms
-   * @param answer work of an answer, ms
-   * @param release work of a release, ms
-   * @param other work of any other message, ms
-   * @param refusal work of turning a set-up away, ms
-   * @param waitLimit set-ups are turned away where the wait is longer, ms
-   * @param coldFrom share of its capacity at which it begins
-   * @param ramp time until it is warm, ms
-   * @param fallMultiple multiple of what it can do that it bears while cold
-   * @param fall window over which that is counted, ms
+   * @param setupMillis work of a set-up, ms
+   * @param answerMillis work of an answer, ms
+   * @param releaseMillis work of a release, ms
+   * @param otherMillis work of any other message, ms
+   * @param rejectionMillis work of turning a set-up away, ms
+   * @param maxWaitMillis set-ups are turned away where the wait is longer, ms
+   * @param coldShare share of its capacity at which it begins
+   * @param rampMillis time until it is warm, ms
+   * @param coldMultiple multiple of what it can do that it bears while cold
+   * @param coldWindowMillis window over which that is counted, ms
    */
   public record Model(
-      double setup,
-      double answer,
-      double release,
-      double other,
-      double refusal,
-      double waitLimit,
-      double coldFrom,
-      double ramp,
-      double fallMultiple,
-      double fall) {}
+      double setupMillis,
+      double answerMillis,
+      double releaseMillis,
+      double otherMillis,
+      double rejectionMillis,
+      double maxWaitMillis,
+      double coldShare,
+      double rampMillis,
+      double coldMultiple,
+      double coldWindowMillis) {}
 
   private record Job(double work, Runnable task) {}
 
@@ -79,11 +79,11 @@
   /** Notes a set-up that reached a cold processor, which may push it over. */
   public void countSetup() {
     double now = host.now();
-    if (now - started >= model.ramp()) {
+    if (now - started >= model.rampMillis()) {
       return;
     }
     setups.add(now);
-    while (setups.peek() < now - model.fall()) {
+    while (setups.peek() < now - model.coldWindowMillis()) {
       setups.poll();
     }
     if (setups.size() > bearable(now)) {
@@ -94,13 +94,13 @@
 
   /** Set-ups that it bears in one window at its present share. */
   public double bearable(double now) {
-    double capacity = model.fall() / model.setup();
-    return model.fallMultiple() * share(now) * capacity;
+    double capacity = model.coldWindowMillis() / model.setupMillis();
+    return model.coldMultiple() * share(now) * capacity;
   }
 
   private double share(double now) {
-    double warm = Math.min(1, (now - started) / model.ramp());
-    return model.coldFrom() + (1 - model.coldFrom()) * warm;
+    double warm = Math.min(1, (now - started) / model.rampMillis());
+    return model.coldShare() + (1 - model.coldShare()) * warm;
   }
 
   private void work() {
@@ -122,7 +122,7 @@
     }
     queued -= job.work();
     workSince += lasted;
-    if (!silent) {
+    if (!setSilent) {
       job.task().run();
     }
     work();
@@ -146,12 +146,12 @@
   }
 
   /** Takes messages and answers none, or answers again. */
-  public void silent(boolean on) {
-    silent = on;
+  public void setSilent(boolean on) {
+    setSilent = on;
   }
 
   /** Works so many times slower. */
-  public void slow(double times) {
+  public void setSlowdown(double times) {
     slowness = times;
   }
 
@@ -173,7 +173,7 @@
   public void startCold() {
     down = false;
     fallen = false;
-    silent = false;
+    setSilent = false;
     slowness = 1;
     setups.clear();
     started = host.now();
@@ -181,7 +181,7 @@
 
   /** Whether it sends anything. */
   public boolean speaks() {
-    return !down && !silent;
+    return !down && !setSilent;
   }
 
   /** Whether it takes messages. */
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -28,42 +28,50 @@
 
   private final SipHost host;
   private final Map<Integer, Hop> controllers;
-  private final Habits habits;
-  private final Consumer<Fate> fates;
+  private final Behaviour habits;
+  private final Consumer<CallResult> fates;
   private final Set<Caller> callers = new LinkedHashSet<>();
-  private List<CallPlan> plans = List.of();
+  private List<PlannedCall> plans = List.of();
   private volatile int next;
   private volatile int open;
 
   /**
    * How callers behave.
    *
-   * @param redialAfter least wait before dialling again, ms; up to twice that
-   * @param followsRetryAfter share of callers that stay away as long as they are told
-   * @param returnAfter least wait before a cut call comes again, ms; up to five times that
+   * @param minRedialDelayMillis least wait before dialling again, ms; up to twice that
+   * @param retryAfterCompliance share of callers that stay away as long as they are told
+   * @param minReconnectDelayMillis least wait before a cut call comes again, ms; up to five times
+   *     that
    */
-  public record Habits(double redialAfter, double followsRetryAfter, double returnAfter) {}
+  public record Behaviour(
+      double minRedialDelayMillis, double retryAfterCompliance, double minReconnectDelayMillis) {}
 
   /**
    * What became of one call, all its tries together.
    *
-   * @param plan the call
-   * @param tries how often it was dialled
-   * @param stoodAfter time from the first try until it stood, ms; negative if it never did
-   * @param cut whether it was cut while it stood
-   * @param ended whether the other side ended it last, cut or not
-   * @param last status of the last final answer; 0 where none came in time
+   * @param plannedCall the call
+   * @param dialCount how often it was dialled
+   * @param establishedAfterMillis time from the first try until it stood, ms; negative if it never
+   *     did
+   * @param disconnected whether it was cut while it stood
+   * @param endedByRemote whether the other side ended it last, cut or not
+   * @param lastStatus status of the last final answer; 0 where none came in time
    */
-  public record Fate(
-      CallPlan plan, int tries, double stoodAfter, boolean cut, boolean ended, int last) {}
+  public record CallResult(
+      PlannedCall plannedCall,
+      int dialCount,
+      double establishedAfterMillis,
+      boolean disconnected,
+      boolean endedByRemote,
+      int lastStatus) {}
 
   /** Makes callers that reach the controllers under their numbers. */
   public StandinCallers(
       SipHost host,
       Timing timing,
       Map<Integer, Hop> controllers,
-      Habits habits,
-      Consumer<Fate> fates) {
+      Behaviour habits,
+      Consumer<CallResult> fates) {
     super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
     this.controllers = controllers;
@@ -72,7 +80,7 @@
   }
 
   /** Sets the calls to be made, in the order of their times. */
-  public void plan(List<CallPlan> calls) {
+  public void setPlannedCalls(List<PlannedCall> calls) {
     plans = calls;
   }
 
@@ -82,17 +90,17 @@
   }
 
   private void dialNext() {
-    while (next < plans.size() && plans.get(next).at() <= host.now()) {
+    while (next < plans.size() && plans.get(next).dialAtMillis() <= host.now()) {
       open++;
       new Caller(plans.get(next++)).dial();
     }
     if (next < plans.size()) {
-      host.schedule(plans.get(next).at() - host.now(), this::dialNext);
+      host.schedule(plans.get(next).dialAtMillis() - host.now(), this::dialNext);
     }
   }
 
   /** Whether every call has come to its end. */
-  public boolean done() {
+  public boolean isDone() {
     return next == plans.size() && open == 0;
   }
 
@@ -102,16 +110,16 @@
   }
 
   /** Calls that stand now through a controller. On the callers' thread. */
-  public List<CallPlan> standing(int controller) {
+  public List<PlannedCall> establishedCalls(int controller) {
     return callers.stream()
-        .filter(caller -> caller.plan.from() == controller && caller.stands())
+        .filter(caller -> caller.plan.originExchange() == controller && caller.stands())
         .map(caller -> caller.plan)
         .toList();
   }
 
   /** One caller with its call. */
   private final class Caller implements CallListener {
-    private final CallPlan plan;
+    private final PlannedCall plan;
     private int tries;
     private int redials;
     private boolean returned;
@@ -122,7 +130,7 @@
     private CallLeg leg;
     private SipHost.Timer patience;
 
-    Caller(CallPlan plan) {
+    Caller(PlannedCall plan) {
       this.plan = plan;
       callers.add(this);
     }
@@ -134,11 +142,12 @@
     void dial() {
       tries++;
       endedByOther = false;
-      Hop to = controllers.get(plan.from()).withTransport(plan.transport());
-      SipRequest invite = new SipRequest("INVITE", "sip:" + plan.number() + '@' + plan.to());
+      Hop to = controllers.get(plan.originExchange()).withTransport(plan.transport());
+      SipRequest invite =
+          new SipRequest("INVITE", "sip:" + plan.calledNumber() + '@' + plan.destinationDomain());
       invite.add("From", "<sip:member@" + host.localHop(plan.transport()).host() + '>');
       invite.add("To", '<' + invite.uri() + '>');
-      invite.add("Expires", Long.toString(Math.round(plan.patience() / 1000)));
+      invite.add("Expires", Long.toString(Math.round(plan.patienceMillis() / 1000)));
       invite.add("Resource-Priority", plan.priority());
       invite.add("Session-ID", session() + ";remote=" + "0".repeat(32));
       if (returned) {
@@ -148,13 +157,13 @@
       }
       invite.body("application/sdp", SDP);
       returned = false;
-      patience = host.schedule(plan.patience(), this::giveUp);
+      patience = host.schedule(plan.patienceMillis(), this::giveUp);
       leg = userAgent().call(invite, to, this);
     }
 
     /** The call's name, then the number of the try: each try is a call to its controller. */
     private String session() {
-      return plan.session() + String.format(Locale.ROOT, "%08x", tries);
+      return plan.sessionIdPrefix() + String.format(Locale.ROOT, "%08x", tries);
     }
 
     private void giveUp() {
@@ -170,8 +179,8 @@
       answered.ack(null);
       patience.cancel();
       last = response.status();
-      stoodAfter = stoodAfter < 0 ? host.now() - plan.at() : stoodAfter;
-      host.schedule(plan.hold(), () -> hangUp(answered));
+      stoodAfter = stoodAfter < 0 ? host.now() - plan.dialAtMillis() : stoodAfter;
+      host.schedule(plan.holdMillis(), () -> hangUp(answered));
     }
 
     private void hangUp(CallLeg held) {
@@ -206,13 +215,13 @@
       if (ended == null) {
         return;
       }
-      if (redials >= plan.redials()) {
+      if (redials >= plan.maxRedials()) {
         over();
         return;
       }
       redials++;
-      double own = habits.redialAfter() * (1 + host.random().nextDouble());
-      boolean follows = host.random().nextDouble() < habits.followsRetryAfter();
+      double own = habits.minRedialDelayMillis() * (1 + host.random().nextDouble());
+      boolean follows = host.random().nextDouble() < habits.retryAfterCompliance();
       host.schedule(follows ? Math.max(own, told) : own, this::dial);
     }
 
@@ -228,7 +237,7 @@
         wasCut = true;
         returned = true;
         stoodAfter = -1;
-        double wait = habits.returnAfter() * (1 + 4 * host.random().nextDouble());
+        double wait = habits.minReconnectDelayMillis() * (1 + 4 * host.random().nextDouble());
         host.schedule(wait, this::dial);
       } else {
         over();
@@ -239,7 +248,7 @@
       leg = null;
       open--;
       callers.remove(this);
-      fates.accept(new Fate(plan, tries, stoodAfter, wasCut, endedByOther, last));
+      fates.accept(new CallResult(plan, tries, stoodAfter, wasCut, endedByOther, last));
     }
   }
 }
--- a/standin/src/main/java/coveladder/standin/StandinList.java
+++ b/standin/src/main/java/coveladder/standin/StandinDirectory.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /** A stand-in for the exchange list: it knows whether processors run, and tells it late. */
-public final class StandinList extends AbstractSipNode {
+public final class StandinDirectory extends AbstractSipNode {
   private final SipHost host;
   private final Notifier notifier;
   private final double lateness;
-  private final Map<String, Line> lines = new LinkedHashMap<>();
+  private final Map<String, Entry> lines = new LinkedHashMap<>();
   private long version;
 
   /**
@@ -28,19 +28,19 @@
    * @param domain its domain
    * @param address URI of its switch
    * @param state {@code in-service}, {@code draining} or {@code gone}
-   * @param started clock of its start, ms; negative: long ago
+   * @param startedAtMillis clock of its start, ms; negative: long ago
    */
-  public record Line(
-      String id, int number, String domain, String address, String state, double started) {
+  public record Entry(
+      String id, int number, String domain, String address, String state, double startedAtMillis) {
 
     /** The same exchange in another state. */
-    public Line in(String other) {
-      return new Line(id, number, domain, address, other, started);
+    public Entry withState(String other) {
+      return new Entry(id, number, domain, address, other, startedAtMillis);
     }
   }
 
   /** Makes a list that tells changes so many milliseconds late, give or take a half. */
-  public StandinList(SipHost host, Timing timing, double lateness) {
+  public StandinDirectory(SipHost host, Timing timing, double lateness) {
     super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
     this.lateness = lateness;
@@ -48,19 +48,19 @@
   }
 
   /** Enters lines that are known from the beginning. */
-  public void enter(List<Line> known) {
+  public void addEntries(List<Entry> known) {
     version++;
     known.forEach(line -> lines.put(line.id(), line));
   }
 
   /** Changes lines; subscribers hear of it late. */
-  public void change(List<Line> news) {
+  public void scheduleUpdate(List<Entry> news) {
     host.schedule(lateness * (0.5 + host.random().nextDouble()), () -> publish(news));
   }
 
-  private void publish(List<Line> news) {
+  private void publish(List<Entry> news) {
     long after = version++;
-    for (Line line : news) {
+    for (Entry line : news) {
       if (line.state().equals("gone")) {
         lines.remove(line.id());
       } else {
@@ -72,7 +72,7 @@
         .forEach(subscription -> subscription.notify("application/json", body(news, after)));
   }
 
-  private String body(List<Line> told, long after) {
+  private String body(List<Entry> told, long after) {
     boolean full = after < 0;
     StringBuilder out = new StringBuilder("{\"full\":").append(full);
     if (!full) {
@@ -80,14 +80,14 @@
     }
     out.append(",\"version\":").append(full ? version : after + 1).append(",\"exchanges\":[");
     for (int i = 0; i < told.size(); i++) {
-      Line line = told.get(i);
+      Entry line = told.get(i);
       out.append(i > 0 ? "," : "").append("{\"id\":\"").append(line.id());
       out.append("\",\"number\":").append(line.number());
       out.append(",\"domain\":\"").append(line.domain());
       out.append("\",\"address\":\"").append(line.address());
       out.append("\",\"state\":\"").append(line.state()).append('"');
-      if (line.started() >= 0) {
-        out.append(",\"age\":").append(Math.round(host.now() - line.started()));
+      if (line.startedAtMillis() >= 0) {
+        out.append(",\"age\":").append(Math.round(host.now() - line.startedAtMillis()));
       }
       out.append('}');
     }
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -37,8 +37,8 @@
   private static final double LOAD_WANTED = 0.85;
 
   private final SipHost world;
-  private final SwitchPlan plan;
-  private final Trunks trunks;
+  private final SwitchConfig plan;
+  private final TrunkNetwork trunks;
   private final Processor processor;
   private final Set<SwitchCall> calls = new LinkedHashSet<>();
   private final Map<String, Integer> linesBusy = new HashMap<>();
@@ -57,11 +57,11 @@
   private long setupsSeen;
 
   /** Makes a switch; its circuits are those of the trunks under its number. */
-  public StandinSwitch(SipHost host, SwitchPlan plan, Trunks trunks) {
+  public StandinSwitch(SipHost host, SwitchConfig plan, TrunkNetwork trunks) {
     this.world = host;
     this.plan = plan;
     this.trunks = trunks;
-    this.processor = new Processor(host, plan.processor());
+    this.processor = new Processor(host, plan.processorModel());
     begin();
   }
 
@@ -76,7 +76,7 @@
 
   @Override
   public void start() {
-    trunks.watch(plan.number(), this::groupChanged);
+    trunks.watch(plan.exchange(), this::groupChanged);
   }
 
   /** Its processor, for faults. */
@@ -114,7 +114,7 @@
   }
 
   /** Cuts a share of the calls that stand. */
-  public void cut(double share) {
+  public void disconnect(double share) {
     for (SwitchCall call : new ArrayList<>(calls)) {
       if (call.standing() && host.random().nextDouble() < share) {
         call.cut();
@@ -123,7 +123,7 @@
   }
 
   /** Cuts all calls. */
-  public void cutAll() {
+  public void disconnectAll() {
     new ArrayList<>(calls).forEach(SwitchCall::cut);
   }
 
@@ -137,8 +137,8 @@
       setupsSeen++;
       processor.countSetup();
     }
-    boolean refuse = setup && processor.waiting() > model.waitLimit();
-    double work = refuse ? model.refusal() : work(message, setup);
+    boolean refuse = setup && processor.waiting() > model.maxWaitMillis();
+    double work = refuse ? model.rejectionMillis() : work(message, setup);
     processor.submit(
         work,
         () -> {
@@ -151,12 +151,14 @@
   private double work(byte[] message, boolean setup) {
     Processor.Model model = processor.model();
     if (setup) {
-      return model.setup();
+      return model.setupMillis();
     }
     if (begins(message, "SIP/2.0 200")) {
-      return model.answer();
+      return model.answerMillis();
     }
-    return begins(message, "BYE") || begins(message, "CANCEL") ? model.release() : model.other();
+    return begins(message, "BYE") || begins(message, "CANCEL")
+        ? model.releaseMillis()
+        : model.otherMillis();
   }
 
   private static boolean begins(byte[] message, String text) {
@@ -213,7 +215,7 @@
 
   private String domainOf(String route) {
     Hop hop = hopOf(route);
-    for (Map.Entry<String, Hop> entry : plan.switches().entrySet()) {
+    for (Map.Entry<String, Hop> entry : plan.switchesByDomain().entrySet()) {
       Hop known = entry.getValue();
       if (known.host().equals(hop.host()) && known.port() == hop.port()) {
         return entry.getKey();
@@ -229,16 +231,16 @@
   }
 
   private CallListener onward(CallLeg leg, String domain) {
-    Integer number = plan.numbers().get(domain);
+    Integer number = plan.exchangesByDomain().get(domain);
     int width = width(leg.invite());
-    if (number == null || !trunks.seize(plan.number(), number, width)) {
+    if (number == null || !trunks.seize(plan.exchange(), number, width)) {
       SipResponse none = leg.response(number == null ? 404 : 503);
       none.add("Reason", "Q.850;cause=34");
       leg.reject(none);
       return null;
     }
     taking = new SwitchCall(this, leg, number, width);
-    takingTo = plan.switches().get(domain);
+    takingTo = plan.switchesByDomain().get(domain);
     calls.add(taking);
     return taking.incoming();
   }
@@ -251,12 +253,12 @@
   }
 
   private int width(SipRequest invite) {
-    return plan.widths().getOrDefault(invite.header("Resource-Priority", ""), 1);
+    return plan.widthsByPriority().getOrDefault(invite.header("Resource-Priority", ""), 1);
   }
 
   private CallListener terminate(CallLeg leg) {
     String number = SipUri.parse(leg.invite().uri()).user();
-    int lines = plan.lines().getOrDefault(number, Integer.MAX_VALUE);
+    int lines = plan.linesByNumber().getOrDefault(number, Integer.MAX_VALUE);
     int busy = linesBusy.getOrDefault(number, 0);
     if (busy >= lines) {
       leg.reject(leg.response(486));
@@ -275,7 +277,7 @@
     SwitchCall call = taking;
     if (takingTo == null) {
       leg.progress(leg.response(180));
-      host.schedule(plan.answerAfter(), () -> answer(leg));
+      host.schedule(plan.answerDelayMillis(), () -> answer(leg));
     } else {
       SipRequest invite = goesOn(leg.invite());
       call.out(stack.userAgent().call(invite, takingTo, call.outgoing()));
@@ -324,7 +326,7 @@
   void over(SwitchCall call, int toward, int width) {
     calls.remove(call);
     if (toward >= 0) {
-      trunks.release(plan.number(), toward, width);
+      trunks.release(plan.exchange(), toward, width);
     }
   }
 
@@ -367,7 +369,7 @@
     StringBuilder out = new StringBuilder("{\"epoch\":\"").append(epoch);
     out.append("\",\"version\":").append(version).append(",\"groups\":[");
     for (int i = 0; i < toward.size(); i++) {
-      CircuitGroup group = trunks.between(plan.number(), toward.get(i));
+      CircuitGroup group = trunks.between(plan.exchange(), toward.get(i));
       out.append(i > 0 ? "," : "").append("{\"toward\":").append(toward.get(i));
       out.append(",\"free\":").append(group.free());
       out.append(",\"size\":").append(group.size()).append('}');
@@ -381,7 +383,7 @@
       case "SUBSCRIBE" -> {
         Notifier.Subscription made = notifier.subscribe(transaction, request);
         if (made != null) {
-          made.notify("application/json", circuits(trunks.neighbours(plan.number())));
+          made.notify("application/json", circuits(trunks.neighbours(plan.exchange())));
         }
       }
       case "OPTIONS" -> transaction.respond(request.response(200));
--- a/standin/src/main/java/coveladder/standin/Trunks.java
+++ b/standin/src/main/java/coveladder/standin/TrunkNetwork.java
@@ -7,12 +7,12 @@
 import java.util.function.IntConsumer;
 
 /** All circuit groups of a fleet, and word to both ends of each when it changes. */
-public final class Trunks {
+public final class TrunkNetwork {
   private final Map<Integer, Map<Integer, CircuitGroup>> groups = new TreeMap<>();
   private final Map<Integer, IntConsumer> watchers = new TreeMap<>();
 
   /** Lays a group between two exchanges. */
-  public void lay(int one, int other, int size) {
+  public void addGroup(int one, int other, int size) {
     CircuitGroup group = new CircuitGroup(size);
     groups.computeIfAbsent(one, n -> new TreeMap<>()).put(other, group);
     groups.computeIfAbsent(other, n -> new TreeMap<>()).put(one, group);
@@ -61,7 +61,7 @@
   }
 
   /** Busy circuits of all groups. */
-  public int busy() {
+  public int busyCircuits() {
     int busy = 0;
     for (var from : groups.entrySet()) {
       for (var to : from.getValue().entrySet()) {
