--- a/standin/src/main/java/coveladder/standin/CircuitGroup.java
+++ b/standin/src/main/java/coveladder/standin/CircuitGroup.java
@@ -43,7 +43,7 @@
   }
 
   /** Changes the size, as when circuits between places are lost or come back. */
-  public void resize(int circuits) {
-    size = circuits;
+  public void resize(int newSize) {
+    size = newSize;
   }
 }
--- a/standin/src/main/java/coveladder/standin/Life.java
+++ b/standin/src/main/java/coveladder/standin/IncarnationHost.java
@@ -7,19 +7,19 @@
 import java.util.random.RandomGenerator;
 
 /** One life of a machine: once it is over, none of its timers runs and nothing leaves. */
-final class Life implements SipHost {
+final class IncarnationHost implements SipHost {
   private final SipHost host;
-  private final BooleanSupplier speaks;
-  private boolean over;
+  private final BooleanSupplier canSend;
+  private boolean ended;
 
   /** Begins a life; while the machine does not speak, what it sends is lost. */
-  Life(SipHost host, BooleanSupplier speaks) {
+  IncarnationHost(SipHost host, BooleanSupplier canSend) {
     this.host = host;
-    this.speaks = speaks;
+    this.canSend = canSend;
   }
 
   void end() {
-    over = true;
+    ended = true;
   }
 
   @Override
@@ -28,11 +28,11 @@
   }
 
   @Override
-  public Timer schedule(double delay, Runnable task) {
+  public Timer schedule(double delayMillis, Runnable task) {
     return host.schedule(
-        delay,
+        delayMillis,
         () -> {
-          if (!over) {
+          if (!ended) {
             task.run();
           }
         });
@@ -45,7 +45,7 @@
 
   @Override
   public void send(Hop to, byte[] message) {
-    if (!over && speaks.getAsBoolean()) {
+    if (!ended && canSend.getAsBoolean()) {
       host.send(to, message);
     }
   }
--- a/standin/src/main/java/coveladder/standin/PlannedCall.java
+++ b/standin/src/main/java/coveladder/standin/PlannedCall.java
@@ -29,9 +29,9 @@
     int maxRedials) {
 
   /** The same call, so many ms later. */
-  public PlannedCall delayedBy(double by) {
+  public PlannedCall delayedBy(double delayMillis) {
     return new PlannedCall(
-        dialAtMillis + by,
+        dialAtMillis + delayMillis,
         sessionIdPrefix,
         originExchange,
         destinationDomain,
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -10,20 +10,20 @@
 public final class Processor {
   private final SipHost host;
   private final Model model;
-  private final ArrayDeque<Job> line = new ArrayDeque<>();
-  private final ArrayDeque<Double> setups = new ArrayDeque<>();
-  private double queued;
-  private boolean working;
-  private double started = Double.NEGATIVE_INFINITY;
-  private double slowness = 1;
-  private double stalledUntil;
-  private boolean setSilent;
+  private final ArrayDeque<Job> queue = new ArrayDeque<>();
+  private final ArrayDeque<Double> setupTimes = new ArrayDeque<>();
+  private double queuedWorkMillis;
+  private boolean busy;
+  private double startedAtMillis = Double.NEGATIVE_INFINITY;
+  private double slowdown = 1;
+  private double stalledUntilMillis;
+  private boolean silent;
   private boolean down;
-  private boolean fallen;
-  private long epoch;
-  private double busyShare;
-  private double lastLook;
-  private double workSince;
+  private boolean crashed;
+  private long incarnation;
+  private double utilization;
+  private double sampledAtMillis;
+  private double workSinceSampleMillis;
 
   /**
    * Figures of a processor.
@@ -51,7 +51,7 @@
       double coldMultiple,
       double coldWindowMillis) {}
 
-  private record Job(double work, Runnable task) {}
+  private record Job(double workMillis, Runnable task) {}
 
   /** Makes a warm processor. */
   public Processor(SipHost host, Model model) {
@@ -65,137 +65,139 @@
   }
 
   /** Puts a message into the line; a processor that is down loses it. */
-  public void submit(double work, Runnable task) {
+  public void submit(double workMillis, Runnable task) {
     if (down) {
       return;
     }
-    line.add(new Job(work, task));
-    queued += work;
-    if (!working) {
-      work();
+    queue.add(new Job(workMillis, task));
+    queuedWorkMillis += workMillis;
+    if (!busy) {
+      processNext();
     }
   }
 
   /** Notes a set-up that reached a cold processor, which may push it over. */
-  public void countSetup() {
+  public void recordSetup() {
     double now = host.now();
-    if (now - started >= model.rampMillis()) {
+    if (now - startedAtMillis >= model.rampMillis()) {
       return;
     }
-    setups.add(now);
-    while (setups.peek() < now - model.coldWindowMillis()) {
-      setups.poll();
+    setupTimes.add(now);
+    while (setupTimes.peek() < now - model.coldWindowMillis()) {
+      setupTimes.poll();
     }
-    if (setups.size() > bearable(now)) {
-      fallen = true;
+    if (setupTimes.size() > maxSetupsPerWindow(now)) {
+      crashed = true;
       stop();
     }
   }
 
   /** Set-ups that it bears in one window at its present share. */
-  public double bearable(double now) {
-    double capacity = model.coldWindowMillis() / model.setupMillis();
-    return model.coldMultiple() * share(now) * capacity;
+  public double maxSetupsPerWindow(double now) {
+    double warmCapacity = model.coldWindowMillis() / model.setupMillis();
+    return model.coldMultiple() * capacityShare(now) * warmCapacity;
   }
 
-  private double share(double now) {
-    double warm = Math.min(1, (now - started) / model.rampMillis());
-    return model.coldShare() + (1 - model.coldShare()) * warm;
+  private double capacityShare(double now) {
+    double warmUpProgress = Math.min(1, (now - startedAtMillis) / model.rampMillis());
+    return model.coldShare() + (1 - model.coldShare()) * warmUpProgress;
   }
 
-  private void work() {
-    Job job = line.poll();
-    working = job != null;
-    if (!working) {
+  private void processNext() {
+    Job job = queue.poll();
+    busy = job != null;
+    if (!busy) {
       return;
     }
     double now = host.now();
-    double begin = Math.max(0, stalledUntil - now);
-    double lasts = job.work() * slowness / share(now);
-    long life = epoch;
-    host.schedule(begin + lasts, () -> finish(job, lasts, life));
+    double stallMillis = Math.max(0, stalledUntilMillis - now);
+    double durationMillis = job.workMillis() * slowdown / capacityShare(now);
+    long startIncarnation = incarnation;
+    host.schedule(
+        stallMillis + durationMillis, () -> finish(job, durationMillis, startIncarnation));
   }
 
-  private void finish(Job job, double lasted, long life) {
-    if (life != epoch) {
+  private void finish(Job job, double durationMillis, long startIncarnation) {
+    if (startIncarnation != incarnation) {
       return;
     }
-    queued -= job.work();
-    workSince += lasted;
-    if (!setSilent) {
+    queuedWorkMillis -= job.workMillis();
+    workSinceSampleMillis += durationMillis;
+    if (!silent) {
       job.task().run();
     }
-    work();
+    processNext();
   }
 
   /** How long a message that comes now waits, ms. */
-  public double waiting() {
-    return queued * slowness / share(host.now()) + Math.max(0, stalledUntil - host.now());
+  public double waitMillis() {
+    return queuedWorkMillis * slowdown / capacityShare(host.now())
+        + Math.max(0, stalledUntilMillis - host.now());
   }
 
   /** Share of the time since the last look that it worked, smoothed. */
-  public double busyShare() {
+  public double utilization() {
     double now = host.now();
-    if (now - lastLook >= 100) {
-      double share = Math.min(1, workSince / (now - lastLook));
-      busyShare = 0.5 * busyShare + 0.5 * share;
-      workSince = 0;
-      lastLook = now;
+    if (now - sampledAtMillis >= 100) {
+      double sample = Math.min(1, workSinceSampleMillis / (now - sampledAtMillis));
+      utilization = 0.5 * utilization + 0.5 * sample;
+      workSinceSampleMillis = 0;
+      sampledAtMillis = now;
     }
-    return busyShare;
+    return utilization;
   }
 
   /** Takes messages and answers none, or answers again. */
-  public void setSilent(boolean on) {
-    setSilent = on;
+  public void setSilent(boolean newSilent) {
+    silent = newSilent;
   }
 
   /** Works so many times slower. */
-  public void setSlowdown(double times) {
-    slowness = times;
+  public void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
   /** Stands still for a time, ms. */
-  public void stall(double lasts) {
-    stalledUntil = Math.max(stalledUntil, host.now() + lasts);
+  public void stall(double durationMillis) {
+    stalledUntilMillis = Math.max(stalledUntilMillis, host.now() + durationMillis);
   }
 
   /** Goes down; all that waits in the line is lost. */
   public void stop() {
     down = true;
-    line.clear();
-    queued = 0;
-    working = false;
-    epoch++;
+    queue.clear();
+    queuedWorkMillis = 0;
+    busy = false;
+    incarnation++;
   }
 
   /** Comes up cold. */
   public void startCold() {
     down = false;
-    fallen = false;
-    setSilent = false;
-    slowness = 1;
-    setups.clear();
-    started = host.now();
+    crashed = false;
+    silent = false;
+    slowdown = 1;
+    setupTimes.clear();
+    startedAtMillis = host.now();
   }
 
   /** Whether it sends anything. */
-  public boolean speaks() {
-    return !down && !setSilent;
+  public boolean canSend() {
+    return !down && !silent;
   }
 
   /** Whether it takes messages. */
-  public boolean up() {
+  public boolean isUp() {
     return !down;
   }
 
   /** Whether it was pushed over. */
-  public boolean fallen() {
-    return fallen;
+  public boolean crashed() {
+    return crashed;
   }
 
   /** Clock of its last cold start; before all time if none. */
-  public double started() {
-    return started;
+  public double startedAtMillis() {
+    return startedAtMillis;
   }
 }
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -28,12 +28,12 @@
 
   private final SipHost host;
   private final Map<Integer, Hop> controllers;
-  private final Behaviour habits;
-  private final Consumer<CallResult> fates;
+  private final Behaviour behaviour;
+  private final Consumer<CallResult> resultListener;
   private final Set<Caller> callers = new LinkedHashSet<>();
-  private List<PlannedCall> plans = List.of();
-  private volatile int next;
-  private volatile int open;
+  private List<PlannedCall> plannedCalls = List.of();
+  private volatile int nextIndex;
+  private volatile int activeCalls;
 
   /**
    * How callers behave.
@@ -70,185 +70,201 @@
       SipHost host,
       Timing timing,
       Map<Integer, Hop> controllers,
-      Behaviour habits,
-      Consumer<CallResult> fates) {
+      Behaviour behaviour,
+      Consumer<CallResult> resultListener) {
     super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
     this.controllers = controllers;
-    this.habits = habits;
-    this.fates = fates;
+    this.behaviour = behaviour;
+    this.resultListener = resultListener;
   }
 
   /** Sets the calls to be made, in the order of their times. */
   public void setPlannedCalls(List<PlannedCall> calls) {
-    plans = calls;
+    plannedCalls = calls;
   }
 
   @Override
   public void start() {
-    dialNext();
+    dialDueCalls();
   }
 
-  private void dialNext() {
-    while (next < plans.size() && plans.get(next).dialAtMillis() <= host.now()) {
-      open++;
-      new Caller(plans.get(next++)).dial();
+  private void dialDueCalls() {
+    while (nextIndex < plannedCalls.size()
+        && plannedCalls.get(nextIndex).dialAtMillis() <= host.now()) {
+      activeCalls++;
+      new Caller(plannedCalls.get(nextIndex++)).dial();
     }
-    if (next < plans.size()) {
-      host.schedule(plans.get(next).dialAtMillis() - host.now(), this::dialNext);
+    if (nextIndex < plannedCalls.size()) {
+      host.schedule(plannedCalls.get(nextIndex).dialAtMillis() - host.now(), this::dialDueCalls);
     }
   }
 
   /** Whether every call has come to its end. */
   public boolean isDone() {
-    return next == plans.size() && open == 0;
+    return nextIndex == plannedCalls.size() && activeCalls == 0;
   }
 
   /** Calls that are under way. */
-  public int open() {
-    return open;
+  public int activeCalls() {
+    return activeCalls;
   }
 
   /** Calls that stand now through a controller. On the callers' thread. */
-  public List<PlannedCall> establishedCalls(int controller) {
+  public List<PlannedCall> establishedCalls(int exchange) {
     return callers.stream()
-        .filter(caller -> caller.plan.originExchange() == controller && caller.stands())
-        .map(caller -> caller.plan)
+        .filter(caller -> caller.plannedCall.originExchange() == exchange && caller.isEstablished())
+        .map(caller -> caller.plannedCall)
         .toList();
   }
 
   /** One caller with its call. */
   private final class Caller implements CallListener {
-    private final PlannedCall plan;
-    private int tries;
-    private int redials;
-    private boolean returned;
-    private boolean wasCut;
-    private boolean endedByOther;
-    private double stoodAfter = -1;
-    private int last;
+    private final PlannedCall plannedCall;
+    private int dialCount;
+    private int redialCount;
+    private boolean reconnecting;
+    private boolean disconnected;
+    private boolean endedByRemote;
+    private double establishedAfterMillis = -1;
+    private int lastStatus;
     private CallLeg leg;
-    private SipHost.Timer patience;
+    private SipHost.Timer patienceTimer;
 
-    Caller(PlannedCall plan) {
-      this.plan = plan;
+    Caller(PlannedCall plannedCall) {
+      this.plannedCall = plannedCall;
       callers.add(this);
     }
 
-    boolean stands() {
+    boolean isEstablished() {
       return leg != null && leg.state() == CallLeg.State.CONFIRMED;
     }
 
     void dial() {
-      tries++;
-      endedByOther = false;
-      Hop to = controllers.get(plan.originExchange()).withTransport(plan.transport());
+      dialCount++;
+      endedByRemote = false;
+      Hop controllerHop =
+          controllers.get(plannedCall.originExchange()).withTransport(plannedCall.transport());
       SipRequest invite =
-          new SipRequest("INVITE", "sip:" + plan.calledNumber() + '@' + plan.destinationDomain());
-      invite.add("From", "<sip:member@" + host.localHop(plan.transport()).host() + '>');
+          new SipRequest(
+              "INVITE",
+              "sip:" + plannedCall.calledNumber() + '@' + plannedCall.destinationDomain());
+      invite.add("From", "<sip:member@" + host.localHop(plannedCall.transport()).host() + '>');
       invite.add("To", '<' + invite.uri() + '>');
-      invite.add("Expires", Long.toString(Math.round(plan.patienceMillis() / 1000)));
-      invite.add("Resource-Priority", plan.priority());
-      invite.add("Session-ID", session() + ";remote=" + "0".repeat(32));
-      if (returned) {
+      invite.add("Expires", Long.toString(Math.round(plannedCall.patienceMillis() / 1000)));
+      invite.add("Resource-Priority", plannedCall.priority());
+      invite.add("Session-ID", sessionId() + ";remote=" + "0".repeat(32));
+      if (reconnecting) {
         invite.add("Reason", "Q.850;cause=41");
-      } else if (tries > 1) {
-        invite.add("Reason", "SIP;cause=" + (last == 0 ? 408 : last));
+      } else if (dialCount > 1) {
+        invite.add("Reason", "SIP;cause=" + (lastStatus == 0 ? 408 : lastStatus));
       }
       invite.body("application/sdp", SDP);
-      returned = false;
-      patience = host.schedule(plan.patienceMillis(), this::giveUp);
-      leg = userAgent().call(invite, to, this);
+      reconnecting = false;
+      patienceTimer = host.schedule(plannedCall.patienceMillis(), this::abandonAttempt);
+      leg = userAgent().call(invite, controllerHop, this);
     }
 
     /** The call's name, then the number of the try: each try is a call to its controller. */
-    private String session() {
-      return plan.sessionIdPrefix() + String.format(Locale.ROOT, "%08x", tries);
+    private String sessionId() {
+      return plannedCall.sessionIdPrefix() + String.format(Locale.ROOT, "%08x", dialCount);
     }
 
-    private void giveUp() {
+    private void abandonAttempt() {
       if (leg.isOutstanding()) {
         leg.cancel(null);
-        last = 0;
-        again(0);
+        lastStatus = 0;
+        redialOrFinish(0);
       }
     }
 
     @Override
-    public void answered(CallLeg answered, SipResponse response) {
-      answered.ack(null);
-      patience.cancel();
-      last = response.status();
-      stoodAfter = stoodAfter < 0 ? host.now() - plan.dialAtMillis() : stoodAfter;
-      host.schedule(plan.holdMillis(), () -> hangUp(answered));
+    public void answered(CallLeg answeredLeg, SipResponse response) {
+      answeredLeg.ack(null);
+      patienceTimer.cancel();
+      lastStatus = response.status();
+      establishedAfterMillis =
+          establishedAfterMillis < 0
+              ? host.now() - plannedCall.dialAtMillis()
+              : establishedAfterMillis;
+      host.schedule(plannedCall.holdMillis(), () -> hangUp(answeredLeg));
     }
 
-    private void hangUp(CallLeg held) {
-      if (held == leg && held.state() == CallLeg.State.CONFIRMED) {
-        held.bye("Q.850;cause=16");
-        over();
+    private void hangUp(CallLeg establishedLeg) {
+      if (establishedLeg == leg && establishedLeg.state() == CallLeg.State.CONFIRMED) {
+        establishedLeg.bye("Q.850;cause=16");
+        finish();
       }
     }
 
     @Override
-    public void rejected(CallLeg refused, SipResponse response) {
-      if (refused == leg) {
-        patience.cancel();
-        last = response.status();
-        again(1000.0 * response.numericHeader("Retry-After", 0));
+    public void rejected(CallLeg rejectedLeg, SipResponse response) {
+      if (rejectedLeg == leg) {
+        patienceTimer.cancel();
+        lastStatus = response.status();
+        redialOrFinish(1000.0 * response.numericHeader("Retry-After", 0));
       }
     }
 
     @Override
-    public void failed(CallLeg gone, Failure failure) {
-      if (gone == leg) {
-        patience.cancel();
-        last = 0;
-        again(0);
+    public void failed(CallLeg failedLeg, Failure failure) {
+      if (failedLeg == leg) {
+        patienceTimer.cancel();
+        lastStatus = 0;
+        redialOrFinish(0);
       }
     }
 
     /** Dials again after a wait, if it still cares. */
-    private void again(double told) {
-      CallLeg ended = leg;
+    private void redialOrFinish(double retryAfterMillis) {
+      CallLeg endedLeg = leg;
       leg = null;
-      if (ended == null) {
+      if (endedLeg == null) {
         return;
       }
-      if (redials >= plan.maxRedials()) {
-        over();
+      if (redialCount >= plannedCall.maxRedials()) {
+        finish();
         return;
       }
-      redials++;
-      double own = habits.minRedialDelayMillis() * (1 + host.random().nextDouble());
-      boolean follows = host.random().nextDouble() < habits.retryAfterCompliance();
-      host.schedule(follows ? Math.max(own, told) : own, this::dial);
+      redialCount++;
+      double delayMillis = behaviour.minRedialDelayMillis() * (1 + host.random().nextDouble());
+      boolean observesRetryAfter = host.random().nextDouble() < behaviour.retryAfterCompliance();
+      host.schedule(
+          observesRetryAfter ? Math.max(delayMillis, retryAfterMillis) : delayMillis, this::dial);
     }
 
     @Override
-    public void ended(CallLeg cut, SipRequest bye) {
-      if (cut != leg) {
+    public void ended(CallLeg endedLeg, SipRequest bye) {
+      if (endedLeg != leg) {
         return;
       }
       leg = null;
-      endedByOther = true;
+      endedByRemote = true;
       String reason = bye == null ? "" : bye.header("Reason", "");
-      if (reason.contains("cause=41") && !wasCut) {
-        wasCut = true;
-        returned = true;
-        stoodAfter = -1;
-        double wait = habits.minReconnectDelayMillis() * (1 + 4 * host.random().nextDouble());
-        host.schedule(wait, this::dial);
+      if (reason.contains("cause=41") && !disconnected) {
+        disconnected = true;
+        reconnecting = true;
+        establishedAfterMillis = -1;
+        double delayMillis =
+            behaviour.minReconnectDelayMillis() * (1 + 4 * host.random().nextDouble());
+        host.schedule(delayMillis, this::dial);
       } else {
-        over();
+        finish();
       }
     }
 
-    private void over() {
+    private void finish() {
       leg = null;
-      open--;
+      activeCalls--;
       callers.remove(this);
-      fates.accept(new CallResult(plan, tries, stoodAfter, wasCut, endedByOther, last));
+      resultListener.accept(
+          new CallResult(
+              plannedCall,
+              dialCount,
+              establishedAfterMillis,
+              disconnected,
+              endedByRemote,
+              lastStatus));
     }
   }
 }
--- a/standin/src/main/java/coveladder/standin/StandinDirectory.java
+++ b/standin/src/main/java/coveladder/standin/StandinDirectory.java
@@ -16,8 +16,8 @@
 public final class StandinDirectory extends AbstractSipNode {
   private final SipHost host;
   private final Notifier notifier;
-  private final double lateness;
-  private final Map<String, Entry> lines = new LinkedHashMap<>();
+  private final double meanDelayMillis;
+  private final Map<String, Entry> entriesById = new LinkedHashMap<>();
   private long version;
 
   /**
@@ -34,64 +34,68 @@
       String id, int number, String domain, String address, String state, double startedAtMillis) {
 
     /** The same exchange in another state. */
-    public Entry withState(String other) {
-      return new Entry(id, number, domain, address, other, startedAtMillis);
+    public Entry withState(String newState) {
+      return new Entry(id, number, domain, address, newState, startedAtMillis);
     }
   }
 
   /** Makes a list that tells changes so many milliseconds late, give or take a half. */
-  public StandinDirectory(SipHost host, Timing timing, double lateness) {
+  public StandinDirectory(SipHost host, Timing timing, double meanDelayMillis) {
     super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
-    this.lateness = lateness;
+    this.meanDelayMillis = meanDelayMillis;
     this.notifier = new Notifier(userAgent(), host, "exchange-list", 1000);
   }
 
   /** Enters lines that are known from the beginning. */
-  public void addEntries(List<Entry> known) {
+  public void addEntries(List<Entry> entries) {
     version++;
-    known.forEach(line -> lines.put(line.id(), line));
+    entries.forEach(entry -> entriesById.put(entry.id(), entry));
   }
 
   /** Changes lines; subscribers hear of it late. */
-  public void scheduleUpdate(List<Entry> news) {
-    host.schedule(lateness * (0.5 + host.random().nextDouble()), () -> publish(news));
+  public void scheduleUpdate(List<Entry> changes) {
+    host.schedule(meanDelayMillis * (0.5 + host.random().nextDouble()), () -> publish(changes));
   }
 
-  private void publish(List<Entry> news) {
-    long after = version++;
-    for (Entry line : news) {
-      if (line.state().equals("gone")) {
-        lines.remove(line.id());
+  private void publish(List<Entry> changes) {
+    long previousVersion = version++;
+    for (Entry entry : changes) {
+      if (entry.state().equals("gone")) {
+        entriesById.remove(entry.id());
       } else {
-        lines.put(line.id(), line);
+        entriesById.put(entry.id(), entry);
       }
     }
     notifier
         .active()
-        .forEach(subscription -> subscription.notify("application/json", body(news, after)));
+        .forEach(
+            subscription ->
+                subscription.notify("application/json", body(changes, previousVersion)));
   }
 
-  private String body(List<Entry> told, long after) {
-    boolean full = after < 0;
-    StringBuilder out = new StringBuilder("{\"full\":").append(full);
+  private String body(List<Entry> entries, long previousVersion) {
+    boolean full = previousVersion < 0;
+    StringBuilder json = new StringBuilder("{\"full\":").append(full);
     if (!full) {
-      out.append(",\"after\":").append(after);
+      json.append(",\"after\":").append(previousVersion);
     }
-    out.append(",\"version\":").append(full ? version : after + 1).append(",\"exchanges\":[");
-    for (int i = 0; i < told.size(); i++) {
-      Entry line = told.get(i);
-      out.append(i > 0 ? "," : "").append("{\"id\":\"").append(line.id());
-      out.append("\",\"number\":").append(line.number());
-      out.append(",\"domain\":\"").append(line.domain());
-      out.append("\",\"address\":\"").append(line.address());
-      out.append("\",\"state\":\"").append(line.state()).append('"');
-      if (line.startedAtMillis() >= 0) {
-        out.append(",\"age\":").append(Math.round(host.now() - line.startedAtMillis()));
+    json.append(",\"version\":")
+        .append(full ? version : previousVersion + 1)
+        .append(",\"exchanges\":[");
+    for (int i = 0; i < entries.size(); i++) {
+      Entry entry = entries.get(i);
+      json.append(i > 0 ? "," : "").append("{\"id\":\"").append(entry.id());
+      json.append("\",\"number\":").append(entry.number());
+      json.append(",\"domain\":\"").append(entry.domain());
+      json.append("\",\"address\":\"").append(entry.address());
+      json.append("\",\"state\":\"").append(entry.state()).append('"');
+      if (entry.startedAtMillis() >= 0) {
+        json.append(",\"age\":").append(Math.round(host.now() - entry.startedAtMillis()));
       }
-      out.append('}');
+      json.append('}');
     }
-    return out.append("]}").toString();
+    return json.append("]}").toString();
   }
 
   @Override
@@ -100,9 +104,9 @@
       super.request(transaction, request);
       return;
     }
-    Notifier.Subscription made = notifier.subscribe(transaction, request);
-    if (made != null) {
-      made.notify("application/json", body(new ArrayList<>(lines.values()), -1));
+    Notifier.Subscription subscription = notifier.subscribe(transaction, request);
+    if (subscription != null) {
+      subscription.notify("application/json", body(new ArrayList<>(entriesById.values()), -1));
     }
   }
 }
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -32,51 +32,51 @@
  * domain, sends on what its controller orders, hands calls for other exchanges to its controller.
  */
 public final class StandinSwitch implements SipNode, UserAgent.Owner {
-  private static final double NOTIFY_GAP = 20;
-  private static final double LOAD_REFRESH = 250;
-  private static final double LOAD_WANTED = 0.85;
+  private static final double NOTIFY_INTERVAL_MILLIS = 20;
+  private static final double LOAD_REFRESH_MILLIS = 250;
+  private static final double TARGET_UTILIZATION = 0.85;
 
-  private final SipHost world;
-  private final SwitchConfig plan;
+  private final SipHost machineHost;
+  private final SwitchConfig config;
   private final TrunkNetwork trunks;
   private final Processor processor;
   private final Set<SwitchCall> calls = new LinkedHashSet<>();
-  private final Map<String, Integer> linesBusy = new HashMap<>();
-  private final Set<Integer> changed = new TreeSet<>();
-  private Life host;
+  private final Map<String, Integer> busyLinesByNumber = new HashMap<>();
+  private final Set<Integer> changedGroups = new TreeSet<>();
+  private IncarnationHost host;
   private SipStack stack;
   private Notifier notifier;
   private String epoch = "";
   private long version;
-  private boolean notifying;
-  private boolean overloaded;
-  private SwitchCall taking;
-  private Hop takingTo;
-  private double loadAt = Double.NEGATIVE_INFINITY;
-  private double eps;
-  private long setupsSeen;
+  private boolean notifyScheduled;
+  private boolean rejectingSetup;
+  private SwitchCall acceptedCall;
+  private Hop acceptedCallNextHop;
+  private double loadUpdatedAtMillis = Double.NEGATIVE_INFINITY;
+  private double requestedReduction;
+  private long receivedSetups;
 
   /** Makes a switch; its circuits are those of the trunks under its number. */
-  public StandinSwitch(SipHost host, SwitchConfig plan, TrunkNetwork trunks) {
-    this.world = host;
-    this.plan = plan;
+  public StandinSwitch(SipHost host, SwitchConfig config, TrunkNetwork trunks) {
+    this.machineHost = host;
+    this.config = config;
     this.trunks = trunks;
-    this.processor = new Processor(host, plan.processorModel());
-    begin();
+    this.processor = new Processor(host, config.processorModel());
+    startIncarnation();
   }
 
-  private void begin() {
-    host = new Life(world, processor::speaks);
-    stack = new SipStack(host, plan.timing(), SipStack.Limits.DEFAULT, this);
+  private void startIncarnation() {
+    host = new IncarnationHost(machineHost, processor::canSend);
+    stack = new SipStack(host, config.timing(), SipStack.Limits.DEFAULT, this);
     notifier = new Notifier(stack.userAgent(), host, "circuit-groups", 64);
     epoch = stack.userAgent().newTag();
     version = 0;
-    stack.userAgent().transactionLayer().reportOverload(this::load);
+    stack.userAgent().transactionLayer().reportOverload(this::overloadControl);
   }
 
   @Override
   public void start() {
-    trunks.watch(plan.exchange(), this::groupChanged);
+    trunks.setChangeListener(config.exchange(), this::groupChanged);
   }
 
   /** Its processor, for faults. */
@@ -85,8 +85,8 @@
   }
 
   /** Set-ups that reached it, repeats included. */
-  public long setupsSeen() {
-    return setupsSeen;
+  public long receivedSetups() {
+    return receivedSetups;
   }
 
   /** Calls through it or to it. */
@@ -108,63 +108,63 @@
   /** Comes up cold, without memory of any call. */
   public void startCold() {
     processor.startCold();
-    linesBusy.clear();
-    notifying = false;
-    begin();
+    busyLinesByNumber.clear();
+    notifyScheduled = false;
+    startIncarnation();
   }
 
   /** Cuts a share of the calls that stand. */
   public void disconnect(double share) {
     for (SwitchCall call : new ArrayList<>(calls)) {
-      if (call.standing() && host.random().nextDouble() < share) {
-        call.cut();
+      if (call.isEstablished() && host.random().nextDouble() < share) {
+        call.disconnect();
       }
     }
   }
 
   /** Cuts all calls. */
   public void disconnectAll() {
-    new ArrayList<>(calls).forEach(SwitchCall::cut);
+    new ArrayList<>(calls).forEach(SwitchCall::disconnect);
   }
 
   // ---- What comes in ------------------------------------------------------------------------
 
   @Override
-  public void receive(Hop from, byte[] message, double arrived) {
+  public void receive(Hop from, byte[] message, double arrivedAtMillis) {
     Processor.Model model = processor.model();
-    boolean setup = begins(message, "INVITE");
-    if (setup) {
-      setupsSeen++;
-      processor.countSetup();
+    boolean isSetup = startsWith(message, "INVITE");
+    if (isSetup) {
+      receivedSetups++;
+      processor.recordSetup();
     }
-    boolean refuse = setup && processor.waiting() > model.maxWaitMillis();
-    double work = refuse ? model.rejectionMillis() : work(message, setup);
+    boolean reject = isSetup && processor.waitMillis() > model.maxWaitMillis();
+    double workMillis = reject ? model.rejectionMillis() : workMillis(message, isSetup);
     processor.submit(
-        work,
+        workMillis,
         () -> {
-          overloaded = refuse;
-          stack.receive(from, message, arrived);
-          overloaded = false;
+          rejectingSetup = reject;
+          stack.receive(from, message, arrivedAtMillis);
+          rejectingSetup = false;
         });
   }
 
-  private double work(byte[] message, boolean setup) {
+  private double workMillis(byte[] message, boolean isSetup) {
     Processor.Model model = processor.model();
-    if (setup) {
+    if (isSetup) {
       return model.setupMillis();
     }
-    if (begins(message, "SIP/2.0 200")) {
+    if (startsWith(message, "SIP/2.0 200")) {
       return model.answerMillis();
     }
-    return begins(message, "BYE") || begins(message, "CANCEL")
+    return startsWith(message, "BYE") || startsWith(message, "CANCEL")
         ? model.releaseMillis()
         : model.otherMillis();
   }
 
-  private static boolean begins(byte[] message, String text) {
-    byte[] start = text.getBytes(StandardCharsets.ISO_8859_1);
-    for (int i = 0; i < start.length; i++) {
-      if (i >= message.length || message[i] != start[i]) {
+  private static boolean startsWith(byte[] message, String prefix) {
+    byte[] prefixBytes = prefix.getBytes(StandardCharsets.ISO_8859_1);
+    for (int i = 0; i < prefixBytes.length; i++) {
+      if (i >= message.length || message[i] != prefixBytes[i]) {
         return false;
       }
     }
@@ -173,7 +173,7 @@
 
   @Override
   public void connectionFailed(Hop hop, Failure failure) {
-    if (processor.up()) {
+    if (processor.isUp()) {
       stack.connectionFailed(hop, failure);
     }
   }
@@ -182,31 +182,31 @@
 
   @Override
   public CallListener incoming(CallLeg leg) {
-    if (overloaded) {
-      SipResponse full = leg.response(503);
-      full.add("Reason", "Q.850;cause=42");
-      full.add("Retry-After", "1");
-      leg.reject(full);
+    if (rejectingSetup) {
+      SipResponse rejection = leg.response(503);
+      rejection.add("Reason", "Q.850;cause=42");
+      rejection.add("Retry-After", "1");
+      leg.reject(rejection);
       return null;
     }
     List<String> routes = leg.invite().headers("Route");
-    if (!routes.isEmpty() && isOwn(routes.get(0))) {
+    if (!routes.isEmpty() && isLocal(routes.get(0))) {
       routes.remove(0);
     }
     String domain = SipUri.parse(leg.invite().uri()).host();
     if (!routes.isEmpty()) {
-      return onward(leg, domainOf(routes.get(0)));
+      return routeToExchange(leg, domainOf(routes.get(0)));
     }
-    if (domain.equals(plan.domain())) {
-      return terminate(leg);
+    if (domain.equals(config.domain())) {
+      return terminateCall(leg);
     }
-    return isFromController(leg) ? onward(leg, domain) : toController(leg);
+    return isFromController(leg) ? routeToExchange(leg, domain) : routeToController(leg);
   }
 
-  private boolean isOwn(String route) {
+  private boolean isLocal(String route) {
     Hop hop = hopOf(route);
-    Hop own = host.localHop(hop.transport());
-    return hop.host().equals(own.host()) && hop.port() == own.port();
+    Hop local = host.localHop(hop.transport());
+    return hop.host().equals(local.host()) && hop.port() == local.port();
   }
 
   private static Hop hopOf(String route) {
@@ -215,9 +215,9 @@
 
   private String domainOf(String route) {
     Hop hop = hopOf(route);
-    for (Map.Entry<String, Hop> entry : plan.switchesByDomain().entrySet()) {
-      Hop known = entry.getValue();
-      if (known.host().equals(hop.host()) && known.port() == hop.port()) {
+    for (Map.Entry<String, Hop> entry : config.switchesByDomain().entrySet()) {
+      Hop switchHop = entry.getValue();
+      if (switchHop.host().equals(hop.host()) && switchHop.port() == hop.port()) {
         return entry.getKey();
       }
     }
@@ -226,66 +226,67 @@
 
   private boolean isFromController(CallLeg leg) {
     Via via = leg.invite().via();
-    Hop controller = plan.controller();
+    Hop controller = config.controller();
     return via.host().equals(controller.host()) && via.portOrDefault() == controller.port();
   }
 
-  private CallListener onward(CallLeg leg, String domain) {
-    Integer number = plan.exchangesByDomain().get(domain);
+  private CallListener routeToExchange(CallLeg leg, String domain) {
+    Integer exchange = config.exchangesByDomain().get(domain);
     int width = width(leg.invite());
-    if (number == null || !trunks.seize(plan.exchange(), number, width)) {
-      SipResponse none = leg.response(number == null ? 404 : 503);
-      none.add("Reason", "Q.850;cause=34");
-      leg.reject(none);
+    if (exchange == null || !trunks.seize(config.exchange(), exchange, width)) {
+      SipResponse rejection = leg.response(exchange == null ? 404 : 503);
+      rejection.add("Reason", "Q.850;cause=34");
+      leg.reject(rejection);
       return null;
     }
-    taking = new SwitchCall(this, leg, number, width);
-    takingTo = plan.switchesByDomain().get(domain);
-    calls.add(taking);
-    return taking.incoming();
+    acceptedCall = new SwitchCall(this, leg, exchange, width);
+    acceptedCallNextHop = config.switchesByDomain().get(domain);
+    calls.add(acceptedCall);
+    return acceptedCall.incomingListener();
   }
 
-  private CallListener toController(CallLeg leg) {
-    taking = new SwitchCall(this, leg, -1, 0);
-    takingTo = plan.controller();
-    calls.add(taking);
-    return taking.incoming();
+  private CallListener routeToController(CallLeg leg) {
+    acceptedCall = new SwitchCall(this, leg, -1, 0);
+    acceptedCallNextHop = config.controller();
+    calls.add(acceptedCall);
+    return acceptedCall.incomingListener();
   }
 
   private int width(SipRequest invite) {
-    return plan.widthsByPriority().getOrDefault(invite.header("Resource-Priority", ""), 1);
+    return config.widthsByPriority().getOrDefault(invite.header("Resource-Priority", ""), 1);
   }
 
-  private CallListener terminate(CallLeg leg) {
+  private CallListener terminateCall(CallLeg leg) {
     String number = SipUri.parse(leg.invite().uri()).user();
-    int lines = plan.linesByNumber().getOrDefault(number, Integer.MAX_VALUE);
-    int busy = linesBusy.getOrDefault(number, 0);
-    if (busy >= lines) {
+    int lineCount = config.linesByNumber().getOrDefault(number, Integer.MAX_VALUE);
+    int busyLines = busyLinesByNumber.getOrDefault(number, 0);
+    if (busyLines >= lineCount) {
       leg.reject(leg.response(486));
       return null;
     }
-    linesBusy.put(number, busy + 1);
-    taking = new SwitchCall(this, leg, -1, 0);
-    taking.line(number);
-    takingTo = null;
-    calls.add(taking);
-    return taking.incoming();
+    busyLinesByNumber.put(number, busyLines + 1);
+    acceptedCall = new SwitchCall(this, leg, -1, 0);
+    acceptedCall.setLineNumber(number);
+    acceptedCallNextHop = null;
+    calls.add(acceptedCall);
+    return acceptedCall.incomingListener();
   }
 
   @Override
   public void callAccepted(CallLeg leg) {
-    SwitchCall call = taking;
-    if (takingTo == null) {
+    SwitchCall call = acceptedCall;
+    if (acceptedCallNextHop == null) {
       leg.progress(leg.response(180));
-      host.schedule(plan.answerDelayMillis(), () -> answer(leg));
+      host.schedule(config.answerDelayMillis(), () -> answer(leg));
     } else {
-      SipRequest invite = goesOn(leg.invite());
-      call.out(stack.userAgent().call(invite, takingTo, call.outgoing()));
+      SipRequest invite = outgoingInvite(leg.invite());
+      call.setOutgoingLeg(
+          stack.userAgent().call(invite, acceptedCallNextHop, call.outgoingListener()));
     }
   }
 
   private void answer(CallLeg leg) {
-    if (processor.up() && leg.state() == CallLeg.State.CALLING) {
+    if (processor.isUp() && leg.state() == CallLeg.State.CALLING) {
       SipResponse ok = leg.response(200);
       ok.copyHeaders("History-Info", leg.invite());
       if (leg.invite().body().length > 0) {
@@ -295,20 +296,22 @@
     }
   }
 
-  private SipRequest goesOn(SipRequest came) {
-    SipRequest invite = new SipRequest("INVITE", came.uri());
-    invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
-    if (!takingTo.equals(plan.controller())) {
-      invite.add("Route", "<sip:" + takingTo.host() + ':' + takingTo.port() + ";lr>");
+  private SipRequest outgoingInvite(SipRequest received) {
+    SipRequest invite = new SipRequest("INVITE", received.uri());
+    invite.add("Max-Forwards", Long.toString(received.numericHeader("Max-Forwards", 70) - 1));
+    if (!acceptedCallNextHop.equals(config.controller())) {
+      invite.add(
+          "Route",
+          "<sip:" + acceptedCallNextHop.host() + ':' + acceptedCallNextHop.port() + ";lr>");
     }
-    invite.add("From", '<' + NameAddr.parse(came.header("From")).uri() + '>');
-    invite.add("To", '<' + came.uri() + '>');
-    EndToEndHeaders.copy(came, invite);
+    invite.add("From", '<' + NameAddr.parse(received.header("From")).uri() + '>');
+    invite.add("To", '<' + received.uri() + '>');
+    EndToEndHeaders.copy(received, invite);
     return invite;
   }
 
   /** Answers a request within a call that ends here. */
-  void answerWithin(CallLeg leg, ServerTransaction transaction, SipRequest request) {
+  void answerInDialogRequest(CallLeg leg, ServerTransaction transaction, SipRequest request) {
     SipResponse ok = request.response(200);
     if (request.is("INVITE") || request.is("UPDATE")) {
       ok.add("Contact", leg.contact());
@@ -323,67 +326,72 @@
     }
   }
 
-  void over(SwitchCall call, int toward, int width) {
+  void callEnded(SwitchCall call, int exchange, int width) {
     calls.remove(call);
-    if (toward >= 0) {
-      trunks.release(plan.exchange(), toward, width);
+    if (exchange >= 0) {
+      trunks.release(config.exchange(), exchange, width);
     }
   }
 
   /** A line of a number is idle again. */
-  void lineIdle(String number) {
-    linesBusy.computeIfPresent(number, (n, busy) -> busy > 1 ? busy - 1 : null);
+  void releaseLine(String number) {
+    busyLinesByNumber.computeIfPresent(number, (n, busy) -> busy > 1 ? busy - 1 : null);
   }
 
   // ---- Load and circuits --------------------------------------------------------------------
 
   /** Figures are refreshed now and then only, as a real switch does. */
-  private OverloadControl load() {
-    if (host.now() - loadAt >= LOAD_REFRESH) {
-      loadAt = host.now();
-      double share = processor.busyShare();
-      eps = share <= LOAD_WANTED ? 0 : Math.min(1, (share - LOAD_WANTED) / (1 - LOAD_WANTED) / 2);
+  private OverloadControl overloadControl() {
+    if (host.now() - loadUpdatedAtMillis >= LOAD_REFRESH_MILLIS) {
+      loadUpdatedAtMillis = host.now();
+      double utilization = processor.utilization();
+      requestedReduction =
+          utilization <= TARGET_UTILIZATION
+              ? 0
+              : Math.min(1, (utilization - TARGET_UTILIZATION) / (1 - TARGET_UTILIZATION) / 2);
     }
-    return new OverloadControl(false, 100 * eps, 2 * LOAD_REFRESH, loadAt / 1000);
+    return new OverloadControl(
+        false, 100 * requestedReduction, 2 * LOAD_REFRESH_MILLIS, loadUpdatedAtMillis / 1000);
   }
 
-  private void groupChanged(int toward) {
-    changed.add(toward);
-    if (!notifying) {
-      notifying = true;
-      host.schedule(NOTIFY_GAP, this::notifyChanged);
+  private void groupChanged(int exchange) {
+    changedGroups.add(exchange);
+    if (!notifyScheduled) {
+      notifyScheduled = true;
+      host.schedule(NOTIFY_INTERVAL_MILLIS, this::notifyGroupChanges);
     }
   }
 
-  private void notifyChanged() {
-    notifying = false;
-    if (processor.up()) {
-      String body = circuits(new ArrayList<>(changed));
+  private void notifyGroupChanges() {
+    notifyScheduled = false;
+    if (processor.isUp()) {
+      String body = circuitsBody(new ArrayList<>(changedGroups));
       notifier.active().forEach(subscription -> subscription.notify("application/json", body));
     }
-    changed.clear();
+    changedGroups.clear();
   }
 
-  private String circuits(List<Integer> toward) {
+  private String circuitsBody(List<Integer> exchanges) {
     version++;
-    StringBuilder out = new StringBuilder("{\"epoch\":\"").append(epoch);
-    out.append("\",\"version\":").append(version).append(",\"groups\":[");
-    for (int i = 0; i < toward.size(); i++) {
-      CircuitGroup group = trunks.between(plan.exchange(), toward.get(i));
-      out.append(i > 0 ? "," : "").append("{\"toward\":").append(toward.get(i));
-      out.append(",\"free\":").append(group.free());
-      out.append(",\"size\":").append(group.size()).append('}');
+    StringBuilder json = new StringBuilder("{\"epoch\":\"").append(epoch);
+    json.append("\",\"version\":").append(version).append(",\"groups\":[");
+    for (int i = 0; i < exchanges.size(); i++) {
+      CircuitGroup group = trunks.groupBetween(config.exchange(), exchanges.get(i));
+      json.append(i > 0 ? "," : "").append("{\"toward\":").append(exchanges.get(i));
+      json.append(",\"free\":").append(group.free());
+      json.append(",\"size\":").append(group.size()).append('}');
     }
-    return out.append("]}").toString();
+    return json.append("]}").toString();
   }
 
   @Override
   public void request(ServerTransaction transaction, SipRequest request) {
     switch (request.method()) {
       case "SUBSCRIBE" -> {
-        Notifier.Subscription made = notifier.subscribe(transaction, request);
-        if (made != null) {
-          made.notify("application/json", circuits(trunks.neighbours(plan.exchange())));
+        Notifier.Subscription subscription = notifier.subscribe(transaction, request);
+        if (subscription != null) {
+          subscription.notify(
+              "application/json", circuitsBody(trunks.neighbours(config.exchange())));
         }
       }
       case "OPTIONS" -> transaction.respond(request.response(200));
--- a/standin/src/main/java/coveladder/standin/SwitchCall.java
+++ b/standin/src/main/java/coveladder/standin/SwitchCall.java
@@ -12,170 +12,171 @@
 /** One call through a stand-in switch: the leg that came, the leg that goes on, its circuits. */
 final class SwitchCall {
   private final StandinSwitch owner;
-  private final CallLeg in;
-  private final int toward;
+  private final CallLeg incomingLeg;
+  private final int nextExchange;
   private final int width;
-  private CallLeg out;
-  private boolean ackOwed;
+  private CallLeg outgoingLeg;
+  private boolean ackPending;
   private boolean released;
-  private String line;
+  private String lineNumber;
 
   /** Makes a call whose circuits toward an exchange are seized; -1 for none. */
-  SwitchCall(StandinSwitch owner, CallLeg in, int toward, int width) {
+  SwitchCall(StandinSwitch owner, CallLeg incomingLeg, int nextExchange, int width) {
     this.owner = owner;
-    this.in = in;
-    this.toward = toward;
+    this.incomingLeg = incomingLeg;
+    this.nextExchange = nextExchange;
     this.width = width;
   }
 
-  CallListener incoming() {
-    return new In();
+  CallListener incomingListener() {
+    return new IncomingLegListener();
   }
 
-  CallListener outgoing() {
-    return new Out();
+  CallListener outgoingListener() {
+    return new OutgoingLegListener();
   }
 
   /** Takes a line of a number, given back at the end. */
-  void line(String number) {
-    line = number;
+  void setLineNumber(String number) {
+    lineNumber = number;
   }
 
-  void out(CallLeg leg) {
-    out = leg;
+  void setOutgoingLeg(CallLeg leg) {
+    outgoingLeg = leg;
   }
 
   /** Hears of the side that called. */
-  private final class In implements CallListener {
+  private final class IncomingLegListener implements CallListener {
     @Override
     public void cancelled(CallLeg leg) {
-      if (out != null) {
-        out.cancel("SIP;cause=487");
+      if (outgoingLeg != null) {
+        outgoingLeg.cancel("SIP;cause=487");
       }
       release();
     }
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      if (out != null && ackOwed) {
-        ackOwed = false;
-        out.ack(ack);
-      } else if (out != null) {
-        out.acknowledgeReinvite(ack);
+      if (outgoingLeg != null && ackPending) {
+        ackPending = false;
+        outgoingLeg.ack(ack);
+      } else if (outgoingLeg != null) {
+        outgoingLeg.acknowledgeReinvite(ack);
       }
     }
 
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
-      if (out == null) {
-        owner.answerWithin(leg, transaction, request);
+      if (outgoingLeg == null) {
+        owner.answerInDialogRequest(leg, transaction, request);
       } else {
-        RequestRelay.forward(leg, out, transaction, request, request.header("RAck"), agreed -> {});
+        RequestRelay.forward(
+            leg, outgoingLeg, transaction, request, request.header("RAck"), agreed -> {});
       }
     }
 
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
-      if (out != null) {
-        out.bye(bye == null ? null : bye.header("Reason"));
+      if (outgoingLeg != null) {
+        outgoingLeg.bye(bye == null ? null : bye.header("Reason"));
       }
       release();
     }
   }
 
   /** Hears of the side that goes on. */
-  private final class Out implements CallListener {
+  private final class OutgoingLegListener implements CallListener {
     @Override
     public void progress(CallLeg leg, SipResponse response) {
-      SipResponse told = in.response(response.status());
-      EndToEndHeaders.copy(response, told);
+      SipResponse relayed = incomingLeg.response(response.status());
+      EndToEndHeaders.copy(response, relayed);
       if (response.header("RSeq") != null) {
-        told.add("RSeq", response.header("RSeq"));
+        relayed.add("RSeq", response.header("RSeq"));
       }
-      in.progress(told);
+      incomingLeg.progress(relayed);
     }
 
     @Override
     public void answered(CallLeg leg, SipResponse response) {
-      ackOwed = leg.invite().body().length == 0 && response.body().length > 0;
-      if (!ackOwed) {
+      ackPending = leg.invite().body().length == 0 && response.body().length > 0;
+      if (!ackPending) {
         leg.ack(null);
       }
-      if (in.state() == CallLeg.State.ENDED) {
+      if (incomingLeg.state() == CallLeg.State.ENDED) {
         leg.bye(null);
       } else {
-        SipResponse told = in.response(200);
-        EndToEndHeaders.copy(response, told);
-        in.accept(told);
+        SipResponse relayed = incomingLeg.response(200);
+        EndToEndHeaders.copy(response, relayed);
+        incomingLeg.accept(relayed);
       }
     }
 
     @Override
     public void rejected(CallLeg leg, SipResponse response) {
-      SipResponse told = in.response(response.status(), response.reasonPhrase());
-      EndToEndHeaders.copy(response, told);
-      in.reject(told);
+      SipResponse relayed = incomingLeg.response(response.status(), response.reasonPhrase());
+      EndToEndHeaders.copy(response, relayed);
+      incomingLeg.reject(relayed);
       release();
     }
 
     @Override
     public void failed(CallLeg leg, Failure failure) {
-      SipResponse told = in.response(failure == Failure.TIMED_OUT ? 408 : 503);
-      told.add("Reason", failure == Failure.RESET ? "Q.850;cause=41" : "Q.850;cause=42");
-      in.reject(told);
+      SipResponse rejection = incomingLeg.response(failure == Failure.TIMED_OUT ? 408 : 503);
+      rejection.add("Reason", failure == Failure.RESET ? "Q.850;cause=41" : "Q.850;cause=42");
+      incomingLeg.reject(rejection);
       release();
     }
 
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
-      RequestRelay.forward(leg, in, transaction, request, null, agreed -> {});
+      RequestRelay.forward(leg, incomingLeg, transaction, request, null, agreed -> {});
     }
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      in.acknowledgeReinvite(ack);
+      incomingLeg.acknowledgeReinvite(ack);
     }
 
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
-      in.bye(bye == null ? "Q.850;cause=41" : bye.header("Reason"));
+      incomingLeg.bye(bye == null ? "Q.850;cause=41" : bye.header("Reason"));
       release();
     }
   }
 
   /** Cuts the call, as lost circuits or a stopping processor do. */
-  void cut() {
+  void disconnect() {
     String reason = "Q.850;cause=41";
-    if (in.state() == CallLeg.State.CALLING) {
-      SipResponse told = in.response(503);
-      told.add("Reason", reason);
-      in.reject(told);
+    if (incomingLeg.state() == CallLeg.State.CALLING) {
+      SipResponse rejection = incomingLeg.response(503);
+      rejection.add("Reason", reason);
+      incomingLeg.reject(rejection);
     } else {
-      in.bye(reason);
+      incomingLeg.bye(reason);
     }
-    if (out != null) {
-      out.cancel(reason);
-      out.bye(reason);
+    if (outgoingLeg != null) {
+      outgoingLeg.cancel(reason);
+      outgoingLeg.bye(reason);
     }
     release();
   }
 
-  int toward() {
-    return toward;
+  int nextExchange() {
+    return nextExchange;
   }
 
-  boolean standing() {
-    return in.state() == CallLeg.State.CONFIRMED;
+  boolean isEstablished() {
+    return incomingLeg.state() == CallLeg.State.CONFIRMED;
   }
 
   /** Gives the circuits back, once. */
   void release() {
     if (!released) {
       released = true;
-      if (line != null) {
-        owner.lineIdle(line);
+      if (lineNumber != null) {
+        owner.releaseLine(lineNumber);
       }
-      owner.over(this, toward, width);
+      owner.callEnded(this, nextExchange, width);
     }
   }
 }
--- a/standin/src/main/java/coveladder/standin/TrunkNetwork.java
+++ b/standin/src/main/java/coveladder/standin/TrunkNetwork.java
@@ -8,62 +8,62 @@
 
 /** All circuit groups of a fleet, and word to both ends of each when it changes. */
 public final class TrunkNetwork {
-  private final Map<Integer, Map<Integer, CircuitGroup>> groups = new TreeMap<>();
-  private final Map<Integer, IntConsumer> watchers = new TreeMap<>();
+  private final Map<Integer, Map<Integer, CircuitGroup>> groupsByExchange = new TreeMap<>();
+  private final Map<Integer, IntConsumer> listeners = new TreeMap<>();
 
   /** Lays a group between two exchanges. */
-  public void addGroup(int one, int other, int size) {
+  public void addGroup(int first, int second, int size) {
     CircuitGroup group = new CircuitGroup(size);
-    groups.computeIfAbsent(one, n -> new TreeMap<>()).put(other, group);
-    groups.computeIfAbsent(other, n -> new TreeMap<>()).put(one, group);
+    groupsByExchange.computeIfAbsent(first, n -> new TreeMap<>()).put(second, group);
+    groupsByExchange.computeIfAbsent(second, n -> new TreeMap<>()).put(first, group);
   }
 
   /** The group between two exchanges; null if there is none. */
-  public CircuitGroup between(int one, int other) {
-    return groups.getOrDefault(one, Map.of()).get(other);
+  public CircuitGroup groupBetween(int first, int second) {
+    return groupsByExchange.getOrDefault(first, Map.of()).get(second);
   }
 
   /** Numbers of the exchanges that one has groups to. */
-  public List<Integer> neighbours(int one) {
-    return new ArrayList<>(groups.getOrDefault(one, Map.of()).keySet());
+  public List<Integer> neighbours(int exchange) {
+    return new ArrayList<>(groupsByExchange.getOrDefault(exchange, Map.of()).keySet());
   }
 
   /** Tells an exchange from now on which of its groups changed. */
-  public void watch(int one, IntConsumer changed) {
-    watchers.put(one, changed);
+  public void setChangeListener(int exchange, IntConsumer listener) {
+    listeners.put(exchange, listener);
   }
 
   /** Takes circuits between two exchanges; whether there were enough. */
-  public boolean seize(int one, int other, int width) {
-    CircuitGroup group = between(one, other);
+  public boolean seize(int first, int second, int width) {
+    CircuitGroup group = groupBetween(first, second);
     boolean seized = group != null && group.seize(width);
     if (seized) {
-      changed(one, other);
+      notifyListeners(first, second);
     }
     return seized;
   }
 
   /** Gives circuits back. */
-  public void release(int one, int other, int width) {
-    between(one, other).release(width);
-    changed(one, other);
+  public void release(int first, int second, int width) {
+    groupBetween(first, second).release(width);
+    notifyListeners(first, second);
   }
 
   /** Changes a group's size. */
-  public void resize(int one, int other, int size) {
-    between(one, other).resize(size);
-    changed(one, other);
+  public void resize(int first, int second, int size) {
+    groupBetween(first, second).resize(size);
+    notifyListeners(first, second);
   }
 
-  private void changed(int one, int other) {
-    watchers.getOrDefault(one, n -> {}).accept(other);
-    watchers.getOrDefault(other, n -> {}).accept(one);
+  private void notifyListeners(int first, int second) {
+    listeners.getOrDefault(first, n -> {}).accept(second);
+    listeners.getOrDefault(second, n -> {}).accept(first);
   }
 
   /** Busy circuits of all groups. */
   public int busyCircuits() {
     int busy = 0;
-    for (var from : groups.entrySet()) {
+    for (var from : groupsByExchange.entrySet()) {
       for (var to : from.getValue().entrySet()) {
         busy += from.getKey() < to.getKey() ? to.getValue().busy() : 0;
       }
