--- a/standin/src/main/java/coveladder/standin/CircuitGroup.java
+++ b/standin/src/main/java/coveladder/standin/CircuitGroup.java
@@ -1,16 +1,16 @@
 package coveladder.standin;
 
-/** One group of circuits that two exchanges share; both ends seize from the same circuits. */
+/** A group of circuits between two exchanges; both ends seize from the same circuits. */
 public final class CircuitGroup {
   private int size;
   private int busy;
 
-  /** Makes a group of idle circuits. */
+  /** Creates a group of idle circuits. */
   public CircuitGroup(int size) {
     this.size = size;
   }
 
-  /** Takes circuits; whether there were enough. */
+  /** Seizes {@code width} circuits; false if there were too few. */
   public boolean seize(int width) {
     if (busy + width > size) {
       return false;
@@ -19,7 +19,7 @@
     return true;
   }
 
-  /** Gives circuits back. */
+  /** Releases {@code width} circuits. */
   public void release(int width) {
     busy -= width;
     if (busy < 0) {
@@ -27,22 +27,22 @@
     }
   }
 
-  /** Idle circuits; none while the group has shrunk below what is busy. */
+  /** Number of idle circuits; zero while the group is smaller than the number of busy circuits. */
   public int free() {
     return Math.max(0, size - busy);
   }
 
-  /** Circuits in all. */
+  /** Number of circuits. */
   public int size() {
     return size;
   }
 
-  /** Busy circuits. */
+  /** Number of busy circuits. */
   public int busy() {
     return busy;
   }
 
-  /** Changes the size, as when circuits between places are lost or come back. */
+  /** Changes the number of circuits, as when circuits fail or are restored. */
   public void resize(int newSize) {
     size = newSize;
   }
--- a/standin/src/main/java/coveladder/standin/IncarnationHost.java
+++ b/standin/src/main/java/coveladder/standin/IncarnationHost.java
@@ -6,18 +6,19 @@
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
 
-/** One life of a machine: once it is over, none of its timers runs and nothing leaves. */
+/** The host of one run of a machine; after its end no timer runs and no message is sent. */
 final class IncarnationHost implements SipHost {
   private final SipHost host;
   private final BooleanSupplier canSend;
   private boolean ended;
 
-  /** Begins a life; while the machine does not speak, what it sends is lost. */
+  /** Starts a run; messages are lost while {@code canSend} is false. */
   IncarnationHost(SipHost host, BooleanSupplier canSend) {
     this.host = host;
     this.canSend = canSend;
   }
 
+  /** Ends the run. */
   void end() {
     ended = true;
   }
--- a/standin/src/main/java/coveladder/standin/PlannedCall.java
+++ b/standin/src/main/java/coveladder/standin/PlannedCall.java
@@ -5,16 +5,17 @@
 /**
  * One call that a stand-in caller will make.
  *
- * @param dialAtMillis clock of its first try, ms
- * @param sessionIdPrefix the first 24 hex digits of the Session-ID (RFC 7989) of all its tries
- * @param originExchange number of the exchange that it is handed to
- * @param destinationDomain domain of the exchange called
- * @param calledNumber number called
- * @param priority Resource-Priority value, which tells its class
+ * @param dialAtMillis clock time at which it is first dialled, ms
+ * @param sessionIdPrefix the first 24 hex digits of the Session-ID (RFC 7989) each time it is
+ *     dialled
+ * @param originExchange number of the exchange whose controller receives it
+ * @param destinationDomain domain of the called exchange
+ * @param calledNumber the called number
+ * @param priority Resource-Priority value, which determines the call class
  * @param transport transport of the caller
- * @param patienceMillis time until a try is given up, whole seconds in ms
- * @param holdMillis time that a call which stands lasts, ms
- * @param maxRedials how often the caller dials again by itself
+ * @param patienceMillis time until a caller abandons an unanswered call, ms; whole seconds
+ * @param holdMillis duration of an established call, ms
+ * @param maxRedials how often the caller redials after a failure
  */
 public record PlannedCall(
     double dialAtMillis,
@@ -28,7 +29,7 @@
     double holdMillis,
     int maxRedials) {
 
-  /** The same call, so many ms later. */
+  /** The same call, dialled {@code delayMillis} later. */
   public PlannedCall delayedBy(double delayMillis) {
     return new PlannedCall(
         dialAtMillis + delayMillis,
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -4,8 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * The processor of an exchange: one line, work done in the order of its coming. A cold one does
- * only part of its work; pushed beyond what it bears, it falls over and stays down.
+ * A model of an exchange's processor: one queue, served in order of arrival. After a cold start it
+ * has only part of its capacity at first; if it receives too many set-ups during that time, it
+ * crashes and stays down until it is started again.
  */
 public final class Processor {
   private final SipHost host;
@@ -26,18 +27,18 @@
   private double workSinceSampleMillis;
 
   /**
-   * Figures of a processor.
+   * The parameters of a processor.
    *
-   * @param setupMillis work of a set-up, ms
-   * @param answerMillis work of an answer, ms
-   * @param releaseMillis work of a release, ms
-   * @param otherMillis work of any other message, ms
-   * @param rejectionMillis work of turning a set-up away, ms
-   * @param maxWaitMillis set-ups are turned away where the wait is longer, ms
-   * @param coldShare share of its capacity at which it begins
-   * @param rampMillis time until it is warm, ms
-   * @param coldMultiple multiple of what it can do that it bears while cold
-   * @param coldWindowMillis window over which that is counted, ms
+   * @param setupMillis processing time of a set-up, ms
+   * @param answerMillis processing time of an answer, ms
+   * @param releaseMillis processing time of a release, ms
+   * @param otherMillis processing time of any other message, ms
+   * @param rejectionMillis processing time of a rejected set-up, ms
+   * @param maxWaitMillis queueing time beyond which set-ups are rejected, ms
+   * @param coldShare share of its capacity that it has right after a cold start
+   * @param rampMillis time from a cold start until it has its full capacity, ms
+   * @param coldMultiple multiple of its present capacity at which a cold processor crashes
+   * @param coldWindowMillis length of the window over which set-ups are counted for that, ms
    */
   public record Model(
       double setupMillis,
@@ -51,20 +52,26 @@
       double coldMultiple,
       double coldWindowMillis) {}
 
+  /** A queued message and its processing time. */
   private record Job(double workMillis, Runnable task) {}
 
-  /** Makes a warm processor. */
+  /** Creates a processor at full capacity. */
   public Processor(SipHost host, Model model) {
     this.host = host;
     this.model = model;
   }
 
-  /** Its figures. */
+  /** The parameters of this processor. */
   public Model model() {
     return model;
   }
 
-  /** Puts a message into the line; a processor that is down loses it. */
+  /**
+   * Queues a message. It is lost if the processor is down.
+   *
+   * @param workMillis its processing time at full capacity, ms
+   * @param task processes the message
+   */
   public void submit(double workMillis, Runnable task) {
     if (down) {
       return;
@@ -76,7 +83,7 @@
     }
   }
 
-  /** Notes a set-up that reached a cold processor, which may push it over. */
+  /** Counts a set-up that arrived; the processor crashes if it is cold and these are too many. */
   public void recordSetup() {
     double now = host.now();
     if (now - startedAtMillis >= model.rampMillis()) {
@@ -92,10 +99,10 @@
     }
   }
 
-  /** Set-ups that it bears in one window at its present share. */
+  /** Maximum number of set-ups in one window that a cold processor survives at its capacity now. */
   public double maxSetupsPerWindow(double now) {
-    double warmCapacity = model.coldWindowMillis() / model.setupMillis();
-    return model.coldMultiple() * capacityShare(now) * warmCapacity;
+    double warmSetups = model.coldWindowMillis() / model.setupMillis();
+    return model.coldMultiple() * capacityShare(now) * warmSetups;
   }
 
   private double capacityShare(double now) {
@@ -112,13 +119,12 @@
     double now = host.now();
     double stallMillis = Math.max(0, stalledUntilMillis - now);
     double durationMillis = job.workMillis() * slowdown / capacityShare(now);
-    long startIncarnation = incarnation;
-    host.schedule(
-        stallMillis + durationMillis, () -> finish(job, durationMillis, startIncarnation));
+    long jobIncarnation = incarnation;
+    host.schedule(stallMillis + durationMillis, () -> finish(job, durationMillis, jobIncarnation));
   }
 
-  private void finish(Job job, double durationMillis, long startIncarnation) {
-    if (startIncarnation != incarnation) {
+  private void finish(Job job, double durationMillis, long jobIncarnation) {
+    if (jobIncarnation != incarnation) {
       return;
     }
     queuedWorkMillis -= job.workMillis();
@@ -129,13 +135,13 @@
     processNext();
   }
 
-  /** How long a message that comes now waits, ms. */
+  /** Queueing time of a message that arrives now, in milliseconds. */
   public double waitMillis() {
     return queuedWorkMillis * slowdown / capacityShare(host.now())
         + Math.max(0, stalledUntilMillis - host.now());
   }
 
-  /** Share of the time since the last look that it worked, smoothed. */
+  /** Smoothed share of time that the processor is busy, updated at most every 100 ms. */
   public double utilization() {
     double now = host.now();
     if (now - sampledAtMillis >= 100) {
@@ -147,22 +153,22 @@
     return utilization;
   }
 
-  /** Takes messages and answers none, or answers again. */
-  public void setSilent(boolean newSilent) {
-    silent = newSilent;
+  /** Sets whether the processor accepts messages but sends nothing. */
+  public void setSilent(boolean silent) {
+    this.silent = silent;
   }
 
-  /** Works so many times slower. */
+  /** Sets the factor by which processing times grow; 1 is the normal speed. */
   public void setSlowdown(double factor) {
     slowdown = factor;
   }
 
-  /** Stands still for a time, ms. */
+  /** Stalls the processor for a time in milliseconds; the message in progress completes first. */
   public void stall(double durationMillis) {
     stalledUntilMillis = Math.max(stalledUntilMillis, host.now() + durationMillis);
   }
 
-  /** Goes down; all that waits in the line is lost. */
+  /** Stops the processor; all queued messages are lost. */
   public void stop() {
     down = true;
     queue.clear();
@@ -171,7 +177,7 @@
     incarnation++;
   }
 
-  /** Comes up cold. */
+  /** Starts the processor cold, with reduced capacity. */
   public void startCold() {
     down = false;
     crashed = false;
@@ -181,22 +187,22 @@
     startedAtMillis = host.now();
   }
 
-  /** Whether it sends anything. */
+  /** Whether the processor can send messages: it is neither down nor silent. */
   public boolean canSend() {
     return !down && !silent;
   }
 
-  /** Whether it takes messages. */
+  /** Whether the processor accepts messages. */
   public boolean isUp() {
     return !down;
   }
 
-  /** Whether it was pushed over. */
+  /** Whether the processor is down because of too many set-ups while it was cold. */
   public boolean crashed() {
     return crashed;
   }
 
-  /** Clock of its last cold start; before all time if none. */
+  /** Clock time of the last cold start, ms; negative infinity if there was none. */
   public double startedAtMillis() {
     return startedAtMillis;
   }
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * Stand-in callers: each makes its call, gives up when its patience ends, dials again after a
- * refusal, hangs up in the end, and comes again when it was cut.
+ * Stand-in callers. Each dials its planned call, abandons it when its patience ends, redials after
+ * a failure, dials once more if the established call is disconnected, and finally hangs up.
  */
 public final class StandinCallers extends AbstractSipNode {
   private static final String SDP =
@@ -38,24 +38,24 @@
   /**
    * How callers behave.
    *
-   * @param minRedialDelayMillis least wait before dialling again, ms; up to twice that
-   * @param retryAfterCompliance share of callers that stay away as long as they are told
-   * @param minReconnectDelayMillis least wait before a cut call comes again, ms; up to five times
-   *     that
+   * @param minRedialDelayMillis minimum delay of a redial, ms; the maximum is twice that
+   * @param retryAfterCompliance share of redials that observe Retry-After
+   * @param minReconnectDelayMillis minimum delay after which a disconnected call is dialled once
+   *     more, ms; the maximum is five times that
    */
   public record Behaviour(
       double minRedialDelayMillis, double retryAfterCompliance, double minReconnectDelayMillis) {}
 
   /**
-   * What became of one call, all its tries together.
+   * The result of a planned call, over all times that it was dialled.
    *
-   * @param plannedCall the call
+   * @param plannedCall the planned call
    * @param dialCount how often it was dialled
-   * @param establishedAfterMillis time from the first try until it stood, ms; negative if it never
-   *     did
-   * @param disconnected whether it was cut while it stood
-   * @param endedByRemote whether the other side ended it last, cut or not
-   * @param lastStatus status of the last final answer; 0 where none came in time
+   * @param establishedAfterMillis time from the planned first dialling until it was established,
+   *     ms; negative if it was not, or not again after it was disconnected
+   * @param disconnected whether it was disconnected by a failure (cause 41) while established
+   * @param endedByRemote whether the remote side ended it when it was last dialled
+   * @param lastStatus status of the last final response; 0 if none arrived in time
    */
   public record CallResult(
       PlannedCall plannedCall,
@@ -65,7 +65,12 @@
       boolean endedByRemote,
       int lastStatus) {}
 
-  /** Makes callers that reach the controllers under their numbers. */
+  /**
+   * Creates callers without planned calls.
+   *
+   * @param controllers addresses of the controllers, by exchange number
+   * @param resultListener receives the result of each call when it is over
+   */
   public StandinCallers(
       SipHost host,
       Timing timing,
@@ -79,7 +84,7 @@
     this.resultListener = resultListener;
   }
 
-  /** Sets the calls to be made, in the order of their times. */
+  /** Sets the calls to dial, in the order of their times. */
   public void setPlannedCalls(List<PlannedCall> calls) {
     plannedCalls = calls;
   }
@@ -100,17 +105,17 @@
     }
   }
 
-  /** Whether every call has come to its end. */
+  /** Whether all planned calls are over. */
   public boolean isDone() {
     return nextIndex == plannedCalls.size() && activeCalls == 0;
   }
 
-  /** Calls that are under way. */
+  /** Number of calls that were dialled and are not over yet. */
   public int activeCalls() {
     return activeCalls;
   }
 
-  /** Calls that stand now through a controller. On the callers' thread. */
+  /** Established calls through the controller of an exchange. Runs on the callers' thread only. */
   public List<PlannedCall> establishedCalls(int exchange) {
     return callers.stream()
         .filter(caller -> caller.plannedCall.originExchange() == exchange && caller.isEstablished())
@@ -118,7 +123,7 @@
         .toList();
   }
 
-  /** One caller with its call. */
+  /** A caller with its planned call. */
   private final class Caller implements CallListener {
     private final PlannedCall plannedCall;
     private int dialCount;
@@ -165,7 +170,9 @@
       leg = userAgent().call(invite, controllerHop, this);
     }
 
-    /** The call's name, then the number of the try: each try is a call to its controller. */
+    /**
+     * The planned call's prefix and the dial count: to a controller, each dialling is a new call.
+     */
     private String sessionId() {
       return plannedCall.sessionIdPrefix() + String.format(Locale.ROOT, "%08x", dialCount);
     }
@@ -215,7 +222,7 @@
       }
     }
 
-    /** Dials again after a wait, if it still cares. */
+    /** Redials after a delay, or finishes if no redials are left. */
     private void redialOrFinish(double retryAfterMillis) {
       CallLeg endedLeg = leg;
       leg = null;
--- a/standin/src/main/java/coveladder/standin/StandinDirectory.java
+++ b/standin/src/main/java/coveladder/standin/StandinDirectory.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for the exchange list: it knows whether processors run, and tells it late. */
+/** A stand-in for the directory server: it reports the state of all exchanges, with a delay. */
 public final class StandinDirectory extends AbstractSipNode {
   private final SipHost host;
   private final Notifier notifier;
@@ -21,25 +21,30 @@
   private long version;
 
   /**
-   * One exchange as the list has it.
+   * The directory entry of an exchange.
    *
-   * @param id its id
-   * @param number its number
-   * @param domain its domain
+   * @param id id of its present processor
+   * @param number number of the exchange
+   * @param domain domain of the exchange
    * @param address URI of its switch
    * @param state {@code in-service}, {@code draining} or {@code gone}
-   * @param startedAtMillis clock of its start, ms; negative: long ago
+   * @param startedAtMillis clock time at which it started, ms; negative if long ago: its age is not
+   *     reported
    */
   public record Entry(
       String id, int number, String domain, String address, String state, double startedAtMillis) {
 
-    /** The same exchange in another state. */
+    /** The same entry in another state. */
     public Entry withState(String newState) {
       return new Entry(id, number, domain, address, newState, startedAtMillis);
     }
   }
 
-  /** Makes a list that tells changes so many milliseconds late, give or take a half. */
+  /**
+   * Creates an empty directory.
+   *
+   * @param meanDelayMillis mean delay of an update, ms; each is delayed by 0.5 to 1.5 times that
+   */
   public StandinDirectory(SipHost host, Timing timing, double meanDelayMillis) {
     super(host, timing, SipStack.Limits.DEFAULT);
     this.host = host;
@@ -47,13 +52,16 @@
     this.notifier = new Notifier(userAgent(), host, "exchange-list", 1000);
   }
 
-  /** Enters lines that are known from the beginning. */
+  /** Adds entries without notifying the subscribers; used before the start. */
   public void addEntries(List<Entry> entries) {
     version++;
     entries.forEach(entry -> entriesById.put(entry.id(), entry));
   }
 
-  /** Changes lines; subscribers hear of it late. */
+  /**
+   * Applies changes after the delay and notifies the subscribers. An entry in state {@code gone} is
+   * removed.
+   */
   public void scheduleUpdate(List<Entry> changes) {
     host.schedule(meanDelayMillis * (0.5 + host.random().nextDouble()), () -> publish(changes));
   }
@@ -74,6 +82,7 @@
                 subscription.notify("application/json", body(changes, previousVersion)));
   }
 
+  /** A full body if {@code previousVersion} is negative; otherwise the changes since then. */
   private String body(List<Entry> entries, long previousVersion) {
     boolean full = previousVersion < 0;
     StringBuilder json = new StringBuilder("{\"full\":").append(full);
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -27,9 +27,12 @@
 import java.util.TreeSet;
 
 /**
- * A stand-in for the switch of an exchange: one processor line that every message passes, circuit
- * groups to other exchanges, lines that answer. It does what its Route says: ends calls for its own
- * domain, sends on what its controller orders, hands calls for other exchanges to its controller.
+ * A stand-in for the switch of an exchange. Every message passes through its one processor.
+ *
+ * <p>A call is routed after the removal of a Route entry that names this switch. If another Route
+ * entry follows, the call goes to that exchange. Otherwise, a line of this switch answers a call to
+ * the local domain; a call from the controller goes to the exchange that its Request-URI names; any
+ * other call goes to the controller.
  */
 public final class StandinSwitch implements SipNode, UserAgent.Owner {
   private static final double NOTIFY_INTERVAL_MILLIS = 20;
@@ -50,13 +53,15 @@
   private long version;
   private boolean notifyScheduled;
   private boolean rejectingSetup;
+  // The call that incoming() accepted last, for the callAccepted() that follows at once. The next
+  // hop is null if the call ends at this switch.
   private SwitchCall acceptedCall;
   private Hop acceptedCallNextHop;
   private double loadUpdatedAtMillis = Double.NEGATIVE_INFINITY;
   private double requestedReduction;
   private long receivedSetups;
 
-  /** Makes a switch; its circuits are those of the trunks under its number. */
+  /** Creates a switch; its circuit groups are those of its exchange in {@code trunks}. */
   public StandinSwitch(SipHost host, SwitchConfig config, TrunkNetwork trunks) {
     this.machineHost = host;
     this.config = config;
@@ -79,24 +84,24 @@
     trunks.setChangeListener(config.exchange(), this::groupChanged);
   }
 
-  /** Its processor, for faults. */
+  /** The processor, for fault injection. */
   public Processor processor() {
     return processor;
   }
 
-  /** Set-ups that reached it, repeats included. */
+  /** Number of INVITEs received, retransmissions included. */
   public long receivedSetups() {
     return receivedSetups;
   }
 
-  /** Calls through it or to it. */
+  /** Number of calls that pass through the switch or end at it. */
   public int calls() {
     return calls.size();
   }
 
-  // ---- Faults -------------------------------------------------------------------------------
+  // ---- Fault injection ----------------------------------------------------------------------
 
-  /** Goes down at once: calls through it lose their circuits, nobody is told. */
+  /** Stops the switch at once: all calls release their circuits, and no message is sent. */
   public void stop() {
     processor.stop();
     host.end();
@@ -105,7 +110,7 @@
     }
   }
 
-  /** Comes up cold, without memory of any call. */
+  /** Starts the switch cold, without state of earlier calls. */
   public void startCold() {
     processor.startCold();
     busyLinesByNumber.clear();
@@ -113,7 +118,7 @@
     startIncarnation();
   }
 
-  /** Cuts a share of the calls that stand. */
+  /** Disconnects a random share (0 to 1) of the established calls. */
   public void disconnect(double share) {
     for (SwitchCall call : new ArrayList<>(calls)) {
       if (call.isEstablished() && host.random().nextDouble() < share) {
@@ -122,12 +127,12 @@
     }
   }
 
-  /** Cuts all calls. */
+  /** Disconnects all calls, pending ones included. */
   public void disconnectAll() {
     new ArrayList<>(calls).forEach(SwitchCall::disconnect);
   }
 
-  // ---- What comes in ------------------------------------------------------------------------
+  // ---- Received messages --------------------------------------------------------------------
 
   @Override
   public void receive(Hop from, byte[] message, double arrivedAtMillis) {
@@ -266,7 +271,7 @@
     }
     busyLinesByNumber.put(number, busyLines + 1);
     acceptedCall = new SwitchCall(this, leg, -1, 0);
-    acceptedCall.setLineNumber(number);
+    acceptedCall.setCalledNumber(number);
     acceptedCallNextHop = null;
     calls.add(acceptedCall);
     return acceptedCall.incomingListener();
@@ -310,7 +315,7 @@
     return invite;
   }
 
-  /** Answers a request within a call that ends here. */
+  /** Answers an in-dialog request of a call that ends at this switch. */
   void answerInDialogRequest(CallLeg leg, ServerTransaction transaction, SipRequest request) {
     SipResponse ok = request.response(200);
     if (request.is("INVITE") || request.is("UPDATE")) {
@@ -326,6 +331,7 @@
     }
   }
 
+  /** Removes a call and releases its circuits; {@code exchange} is -1 if it has none. */
   void callEnded(SwitchCall call, int exchange, int width) {
     calls.remove(call);
     if (exchange >= 0) {
@@ -333,14 +339,14 @@
     }
   }
 
-  /** A line of a number is idle again. */
+  /** Releases one line of a called number. */
   void releaseLine(String number) {
     busyLinesByNumber.computeIfPresent(number, (n, busy) -> busy > 1 ? busy - 1 : null);
   }
 
-  // ---- Load and circuits --------------------------------------------------------------------
+  // ---- Overload control and circuit reports -------------------------------------------------
 
-  /** Figures are refreshed now and then only, as a real switch does. */
+  /** The requested load reduction, refreshed only periodically, as in a real switch. */
   private OverloadControl overloadControl() {
     if (host.now() - loadUpdatedAtMillis >= LOAD_REFRESH_MILLIS) {
       loadUpdatedAtMillis = host.now();
--- a/standin/src/main/java/coveladder/standin/SwitchCall.java
+++ b/standin/src/main/java/coveladder/standin/SwitchCall.java
@@ -9,7 +9,7 @@
 import coveladder.sip.SipRequest;
 import coveladder.sip.SipResponse;
 
-/** One call through a stand-in switch: the leg that came, the leg that goes on, its circuits. */
+/** A call through a stand-in switch: incoming leg, outgoing leg and seized circuits. */
 final class SwitchCall {
   private final StandinSwitch owner;
   private final CallLeg incomingLeg;
@@ -18,9 +18,14 @@
   private CallLeg outgoingLeg;
   private boolean ackPending;
   private boolean released;
-  private String lineNumber;
-
-  /** Makes a call whose circuits toward an exchange are seized; -1 for none. */
+  private String calledNumber;
+
+  /**
+   * Creates a call whose circuits are already seized.
+   *
+   * @param nextExchange number of the exchange that the circuits lead to; -1 if there are none
+   * @param width number of seized circuits
+   */
   SwitchCall(StandinSwitch owner, CallLeg incomingLeg, int nextExchange, int width) {
     this.owner = owner;
     this.incomingLeg = incomingLeg;
@@ -36,16 +41,16 @@
     return new OutgoingLegListener();
   }
 
-  /** Takes a line of a number, given back at the end. */
-  void setLineNumber(String number) {
-    lineNumber = number;
+  /** Sets the called number whose line the call occupies until its release. */
+  void setCalledNumber(String number) {
+    calledNumber = number;
   }
 
   void setOutgoingLeg(CallLeg leg) {
     outgoingLeg = leg;
   }
 
-  /** Hears of the side that called. */
+  /** Receives the events of the incoming leg. */
   private final class IncomingLegListener implements CallListener {
     @Override
     public void cancelled(CallLeg leg) {
@@ -84,7 +89,7 @@
     }
   }
 
-  /** Hears of the side that goes on. */
+  /** Receives the events of the outgoing leg. */
   private final class OutgoingLegListener implements CallListener {
     @Override
     public void progress(CallLeg leg, SipResponse response) {
@@ -144,7 +149,7 @@
     }
   }
 
-  /** Cuts the call, as lost circuits or a stopping processor do. */
+  /** Disconnects the call on both legs, as the loss of its circuits or of the processor does. */
   void disconnect() {
     String reason = "Q.850;cause=41";
     if (incomingLeg.state() == CallLeg.State.CALLING) {
@@ -169,12 +174,12 @@
     return incomingLeg.state() == CallLeg.State.CONFIRMED;
   }
 
-  /** Gives the circuits back, once. */
+  /** Releases the circuits and the line; later calls have no effect. */
   void release() {
     if (!released) {
       released = true;
-      if (lineNumber != null) {
-        owner.releaseLine(lineNumber);
+      if (calledNumber != null) {
+        owner.releaseLine(calledNumber);
       }
       owner.callEnded(this, nextExchange, width);
     }
--- a/standin/src/main/java/coveladder/standin/SwitchConfig.java
+++ b/standin/src/main/java/coveladder/standin/SwitchConfig.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * What a stand-in switch is told at start.
+ * The configuration of a stand-in switch.
  *
- * @param exchange its number
- * @param domain its domain
- * @param controller where its controller takes signalling
- * @param switchesByDomain where the switches of the fleet take signalling, by domain
- * @param exchangesByDomain number of each exchange, by domain
- * @param widthsByPriority circuits that a call takes, by Resource-Priority value
- * @param linesByNumber lines of numbers that have few; any other has enough
+ * @param exchange number of its exchange
+ * @param domain domain of its exchange
+ * @param controller signalling address of its controller
+ * @param switchesByDomain signalling addresses of all switches, by domain
+ * @param exchangesByDomain exchange numbers, by domain
+ * @param widthsByPriority circuits per call, by Resource-Priority value; 1 for any other
+ * @param linesByNumber number of lines of called numbers; any other number has no limit
  * @param answerDelayMillis time until a called line answers, ms
- * @param processorModel figures of its processor
- * @param timing timer values
+ * @param processorModel parameters of its processor
+ * @param timing SIP timers
  */
 public record SwitchConfig(
     int exchange,
--- a/standin/src/main/java/coveladder/standin/TrunkNetwork.java
+++ b/standin/src/main/java/coveladder/standin/TrunkNetwork.java
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 import java.util.function.IntConsumer;
 
-/** All circuit groups of a fleet, and word to both ends of each when it changes. */
+/** The circuit groups between the exchanges of a fleet; both ends learn of each change. */
 public final class TrunkNetwork {
   private final Map<Integer, Map<Integer, CircuitGroup>> groupsByExchange = new TreeMap<>();
   private final Map<Integer, IntConsumer> listeners = new TreeMap<>();
 
-  /** Lays a group between two exchanges. */
+  /** Adds a group of {@code size} circuits between two exchanges. */
   public void addGroup(int first, int second, int size) {
     CircuitGroup group = new CircuitGroup(size);
     groupsByExchange.computeIfAbsent(first, n -> new TreeMap<>()).put(second, group);
@@ -23,17 +23,19 @@
     return groupsByExchange.getOrDefault(first, Map.of()).get(second);
   }
 
-  /** Numbers of the exchanges that one has groups to. */
+  /** Numbers of the exchanges that share a circuit group with the given one. */
   public List<Integer> neighbours(int exchange) {
     return new ArrayList<>(groupsByExchange.getOrDefault(exchange, Map.of()).keySet());
   }
 
-  /** Tells an exchange from now on which of its groups changed. */
+  /**
+   * Sets the listener of an exchange: it receives the number at the other end of a changed group.
+   */
   public void setChangeListener(int exchange, IntConsumer listener) {
     listeners.put(exchange, listener);
   }
 
-  /** Takes circuits between two exchanges; whether there were enough. */
+  /** Seizes {@code width} circuits between two exchanges; false if there were too few. */
   public boolean seize(int first, int second, int width) {
     CircuitGroup group = groupBetween(first, second);
     boolean seized = group != null && group.seize(width);
@@ -43,13 +45,13 @@
     return seized;
   }
 
-  /** Gives circuits back. */
+  /** Releases {@code width} circuits between two exchanges. */
   public void release(int first, int second, int width) {
     groupBetween(first, second).release(width);
     notifyListeners(first, second);
   }
 
-  /** Changes a group's size. */
+  /** Changes the number of circuits between two exchanges. */
   public void resize(int first, int second, int size) {
     groupBetween(first, second).resize(size);
     notifyListeners(first, second);
@@ -60,7 +62,7 @@
     listeners.getOrDefault(second, n -> {}).accept(first);
   }
 
-  /** Busy circuits of all groups. */
+  /** Number of busy circuits in all groups. */
   public int busyCircuits() {
     int busy = 0;
     for (var from : groupsByExchange.entrySet()) {
