--- a/standin/src/main/java/coveladder/standin/PlannedCall.java
+++ b/standin/src/main/java/coveladder/standin/PlannedCall.java
@@ -6,8 +6,8 @@
  * One call that a stand-in caller will make.
  *
  * @param dialAtMillis clock time at which it is first dialled, ms
- * @param sessionIdPrefix the first 24 hex digits of the Session-ID (RFC 7989) each time it is
- *     dialled
+ * @param sessionIdPrefix the first 24 hex digits of the Session-ID (RFC 7989), the same whenever it
+ *     is dialled
  * @param originExchange number of the exchange whose controller receives it
  * @param destinationDomain domain of the called exchange
  * @param calledNumber the called number
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -37,7 +37,7 @@
    * @param maxWaitMillis queueing time beyond which set-ups are rejected, ms
    * @param coldShare share of its capacity that it has right after a cold start
    * @param rampMillis time from a cold start until it has its full capacity, ms
-   * @param coldMultiple multiple of its present capacity at which a cold processor crashes
+   * @param coldMultiple multiple of its present capacity beyond which a cold processor crashes
    * @param coldWindowMillis length of the window over which set-ups are counted for that, ms
    */
   public record Model(
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Counts a set-up that arrived; the processor crashes if it is cold and these are too many. */
+  /** Counts a received set-up. A cold processor that receives too many of them crashes. */
   public void recordSetup() {
     double now = host.now();
     if (now - startedAtMillis >= model.rampMillis()) {
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Maximum number of set-ups in one window that a cold processor survives at its capacity now. */
+  /** Maximum number of set-ups per window that a cold processor withstands at the given time. */
   public double maxSetupsPerWindow(double now) {
     double warmSetups = model.coldWindowMillis() / model.setupMillis();
     return model.coldMultiple() * capacityShare(now) * warmSetups;
@@ -123,6 +123,7 @@
     host.schedule(stallMillis + durationMillis, () -> finish(job, durationMillis, jobIncarnation));
   }
 
+  /** Completes a job, unless the processor was stopped in the meantime. */
   private void finish(Job job, double durationMillis, long jobIncarnation) {
     if (jobIncarnation != incarnation) {
       return;
--- a/standin/src/main/java/coveladder/standin/StandinCallers.java
+++ b/standin/src/main/java/coveladder/standin/StandinCallers.java
@@ -166,7 +166,7 @@
       }
       invite.body("application/sdp", SDP);
       reconnecting = false;
-      patienceTimer = host.schedule(plannedCall.patienceMillis(), this::abandonAttempt);
+      patienceTimer = host.schedule(plannedCall.patienceMillis(), this::abandonPendingCall);
       leg = userAgent().call(invite, controllerHop, this);
     }
 
@@ -177,7 +177,7 @@
       return plannedCall.sessionIdPrefix() + String.format(Locale.ROOT, "%08x", dialCount);
     }
 
-    private void abandonAttempt() {
+    private void abandonPendingCall() {
       if (leg.isOutstanding()) {
         leg.cancel(null);
         lastStatus = 0;
--- a/standin/src/main/java/coveladder/standin/StandinDirectory.java
+++ b/standin/src/main/java/coveladder/standin/StandinDirectory.java
@@ -52,7 +52,7 @@
     this.notifier = new Notifier(userAgent(), host, "exchange-list", 1000);
   }
 
-  /** Adds entries without notifying the subscribers; used before the start. */
+  /** Adds the initial entries; subscribers are not notified. */
   public void addEntries(List<Entry> entries) {
     version++;
     entries.forEach(entry -> entriesById.put(entry.id(), entry));
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -95,7 +95,7 @@
   }
 
   /** Number of calls that pass through the switch or end at it. */
-  public int calls() {
+  public int callCount() {
     return calls.size();
   }
 
