--- a/core/src/main/java/coveladder/core/ExchangeDirectory.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -30,7 +30,7 @@
    * @param domain host part of the URIs of its numbers
    * @param address URI of its signalling address
    * @param state state of the exchange
-   * @param startedAt time of its last start by its own clock, ms; 0: long ago
+   * @param startedAt this controller's clock at its last start, ms; 0: long ago
    */
   public record Entry(
       String id, int number, String domain, String address, ExchangeState state, double startedAt) {
@@ -78,6 +78,7 @@
     return UpdateResult.APPLIED;
   }
 
+  /** Records an exchange that a complete update does not list as closed from now on. */
   private boolean markClosedIfMissing(String id, Update update, double now) {
     boolean missing = update.entries().stream().noneMatch(entry -> entry.id().equals(id));
     if (missing) {
--- a/core/src/main/java/coveladder/core/LoadReports.java
+++ b/core/src/main/java/coveladder/core/LoadReports.java
@@ -37,7 +37,11 @@
     }
   }
 
-  /** The known load figures of an exchange and of the circuit group toward it; null: no group. */
+  /**
+   * The load figures of an exchange known at a time.
+   *
+   * @param group the circuit group toward the exchange; null if none is known
+   */
   public Load load(String exchange, CircuitGroups.Group group, double now) {
     Report report = latest.get(exchange);
     boolean valid = report != null && now < report.validUntil();
--- a/core/src/main/java/coveladder/core/recovery/CallStore.java
+++ b/core/src/main/java/coveladder/core/recovery/CallStore.java
@@ -26,7 +26,7 @@
   /** The contents of the store when it was opened. */
   Contents initialContents();
 
-  /** Marks the store as up to date: the changes so far correct what was found out of date. */
+  /** Marks the store as up to date after the changes so far, which correct outdated records. */
   void markUpToDate();
 
   /**
