--- a/policy/src/test/java/coveladder/ColdFleetTest.java
+++ b/policy/src/test/java/coveladder/ColdFleetTest.java
@@ -18,44 +18,51 @@
  */
 class ColdFleetTest {
   private static final int SEEDS = 5;
-  private static final double WARM_UP = 10_500;
-  private static final double STEP = 100;
+  private static final double WARM_UP_MILLIS = 10_500;
+  private static final double STEP_MILLIS = 100;
 
   /** Share of a warm processor that its work takes up; the controllers are not told. */
-  private static final double IN_USE = 0.8;
+  private static final double WARM_UTILIZATION = 0.8;
 
   private SplittableRandom random;
   private Settings settings;
-  private double callsPerSecond;
-  private int drawn;
+  private double meanCallsPerSecond;
+  private int nextCallNumber;
 
   /** One controller, and what it has sent toward the cold processor, by clock. */
   private final class Controller {
-    private final Bed bed;
-    private final double rate;
-    private final List<Double> sent = new ArrayList<>();
+    private final PolicyFixture fixture;
+    private final double callsPerSecond;
+    private final List<Double> sendTimes = new ArrayList<>();
 
-    Controller(double now, double rate, double coldSince) {
-      this.bed = new Bed(settings, random.nextLong(), now);
-      this.rate = rate;
-      bed.list(true, Bed.entry(1, 0), Bed.entry(2, coldSince), Bed.entry(3, 0));
+    Controller(double now, double callsPerSecond, double startedAt) {
+      this.fixture = new PolicyFixture(settings, random.nextLong(), now);
+      this.callsPerSecond = callsPerSecond;
+      fixture.updateDirectory(
+          true,
+          PolicyFixture.inServiceExchange(1, 0),
+          PolicyFixture.inServiceExchange(2, startedAt),
+          PolicyFixture.inServiceExchange(3, 0));
     }
 
     /** Calls come evenly drawn, half of them toward the cold processor. */
     void step() {
-      int before = bed.asked.all.size();
-      double expected = rate * STEP / 1000;
-      for (double left = expected; random.nextDouble() < left; left--) {
-        bed.call("c" + drawn++, Bed.CHEAP, random.nextBoolean() ? 2 : 1);
+      int recordedBefore = fixture.actions.recorded.size();
+      double expectedCalls = callsPerSecond * STEP_MILLIS / 1000;
+      for (double remaining = expectedCalls; random.nextDouble() < remaining; remaining--) {
+        fixture.offerCall(
+            "c" + nextCallNumber++, PolicyFixture.LOW_WORTH, random.nextBoolean() ? 2 : 1);
       }
-      bed.pass(STEP);
-      for (var action : List.copyOf(bed.asked.all.subList(before, bed.asked.all.size()))) {
-        if (action.what().equals("send")) {
+      fixture.advanceClock(STEP_MILLIS);
+      for (var action :
+          List.copyOf(
+              fixture.actions.recorded.subList(recordedBefore, fixture.actions.recorded.size()))) {
+        if (action.type().equals("send")) {
           if (action.exchange().equals("x2")) {
-            sent.add(bed.now);
+            sendTimes.add(fixture.now);
           }
-          bed.stands(action.call(), 0, 40);
-          bed.ended(
+          fixture.establish(action.call(), 0, 40);
+          fixture.endAttempt(
               action.call(),
               0,
               Integer.parseInt(action.exchange().substring(1)),
@@ -66,13 +73,14 @@
     }
   }
 
-  private static Settings settings(int controllers, double cold, double multiple, double window) {
-    Settings one = Bed.settings(Layout.MESH, 0);
+  private static Settings settings(
+      int controllerCount, double coldShare, double coldMultiple, double coldWindow) {
+    Settings base = PolicyFixture.settings(Layout.MESH, 0);
     return new Settings(
-        one.layout(),
+        base.layout(),
         0,
-        controllers,
-        one.classes(),
+        controllerCount,
+        base.classes(),
         5,
         4,
         true,
@@ -82,42 +90,45 @@
         false,
         300,
         800,
-        cold,
+        coldShare,
         10_000,
-        multiple,
-        window);
+        coldMultiple,
+        coldWindow);
   }
 
   /** Some controllers see several times the mean. */
-  private List<Controller> fleet() {
+  private List<Controller> createFleet() {
     List<Controller> fleet = new ArrayList<>();
     for (int i = 0; i < settings.controllerCount(); i++) {
-      double part = i % 5 == 0 ? 3 : 0.5;
-      fleet.add(new Controller(20_000, callsPerSecond * part, 0));
+      double shareOfMean = i % 5 == 0 ? 3 : 0.5;
+      fleet.add(new Controller(20_000, meanCallsPerSecond * shareOfMean, 0));
     }
     return fleet;
   }
 
-  private List<Double> sendsInRamp(boolean restarts) {
-    List<Controller> fleet = fleet();
-    for (double t = 0; t < WARM_UP; t += STEP) {
+  private List<Double> sendTimesDuringRamp(boolean restartControllers) {
+    List<Controller> fleet = createFleet();
+    for (double time = 0; time < WARM_UP_MILLIS; time += STEP_MILLIS) {
       fleet.forEach(Controller::step);
     }
-    double start = fleet.get(0).bed.now;
-    fleet.forEach(one -> one.bed.list(false, Bed.entry(2, start)));
-    List<Double> sent = new ArrayList<>();
-    for (double t = 0; t < settings.rampTime(); t += STEP) {
-      if (restarts && t == 3_000) {
+    double startedAt = fleet.get(0).fixture.now;
+    fleet.forEach(
+        controller ->
+            controller.fixture.updateDirectory(
+                false, PolicyFixture.inServiceExchange(2, startedAt)));
+    List<Double> sendTimes = new ArrayList<>();
+    for (double time = 0; time < settings.rampTime(); time += STEP_MILLIS) {
+      if (restartControllers && time == 3_000) {
         for (int i = 0; i < fleet.size() * 7 / 10; i++) {
-          sent.addAll(fleet.get(i).sent);
-          fleet.set(i, new Controller(start + t, fleet.get(i).rate, start));
+          sendTimes.addAll(fleet.get(i).sendTimes);
+          fleet.set(i, new Controller(startedAt + time, fleet.get(i).callsPerSecond, startedAt));
         }
       }
       fleet.forEach(Controller::step);
     }
-    fleet.forEach(one -> sent.addAll(one.sent));
-    sent.removeIf(t -> t <= start || t >= start + settings.rampTime());
-    return sent;
+    fleet.forEach(controller -> sendTimes.addAll(controller.sendTimes));
+    sendTimes.removeIf(time -> time <= startedAt || time >= startedAt + settings.rampTime());
+    return sendTimes;
   }
 
   @ParameterizedTest
@@ -125,23 +136,32 @@
     "8, 2, 0.3, 3, 3000", "30, 2, 0.3, 3, 3000", "60, 2, 0.3, 3, 3000",
     "8, 1, 0.4, 2, 1000", "30, 1, 0.3, 2, 1000", "60, 0.7, 0.3, 2, 1000"
   })
-  void allTogetherStayWithinTheBudgetOfEachWindow(
-      int controllers, double rate, double cold, double multiple, double window) {
-    settings = settings(controllers, cold, multiple, window);
-    callsPerSecond = rate;
-    double budget = multiple * cold * 2 * rate / IN_USE * window / 1000;
-    double most = budget + 2 * Math.sqrt(budget) + 2;
-    int all = 0;
+  void allControllersTogetherStayWithinTheBudgetOfEachWindow(
+      int controllerCount,
+      double callsPerSecond,
+      double coldShare,
+      double coldMultiple,
+      double coldWindow) {
+    settings = settings(controllerCount, coldShare, coldMultiple, coldWindow);
+    meanCallsPerSecond = callsPerSecond;
+    double budget =
+        coldMultiple * coldShare * 2 * callsPerSecond / WARM_UTILIZATION * coldWindow / 1000;
+    double maxPerWindow = budget + 2 * Math.sqrt(budget) + 2;
+    int totalSent = 0;
     for (int seed = 0; seed < 2 * SEEDS; seed++) {
       random = new SplittableRandom(seed);
-      List<Double> sent = sendsInRamp(seed % 2 == 1);
-      for (double end : sent) {
-        long inWindow = sent.stream().filter(t -> t > end - window && t <= end).count();
+      List<Double> sendTimes = sendTimesDuringRamp(seed % 2 == 1);
+      for (double end : sendTimes) {
+        long inWindow =
+            sendTimes.stream().filter(sentAt -> sentAt > end - coldWindow && sentAt <= end).count();
         assertTrue(
-            inWindow <= most, "seed " + seed + ": " + inWindow + " set-ups, at most " + most);
+            inWindow <= maxPerWindow,
+            "seed " + seed + ": " + inWindow + " set-ups, at most " + maxPerWindow);
       }
-      all += sent.size();
+      totalSent += sendTimes.size();
     }
-    assertTrue(all >= 2 * SEEDS * settings.rampTime() / window * budget / 4, "few in all: " + all);
+    assertTrue(
+        totalSent >= 2 * SEEDS * settings.rampTime() / coldWindow * budget / 4,
+        "few in all: " + totalSent);
   }
 }
--- a/policy/src/test/java/coveladder/EmbeddingExampleTest.java
+++ b/policy/src/test/java/coveladder/EmbeddingExampleTest.java
@@ -16,7 +16,7 @@
 class EmbeddingExampleTest {
 
   @Test
-  void aControllerAsksTheModule() {
+  void aControllerUsesThePolicy() {
     CallClass lookup = new CallClass(1, 0.25, 1200, 9000, 1, 10000, List.of());
     CallClass save = new CallClass(8, 0.25, 1000, 6000, 1, 6000, List.of());
     Settings settings =
@@ -38,7 +38,7 @@
             13000,
             3,
             3000);
-    Recorder actions = new Recorder();
+    RecordingActions actions = new RecordingActions();
 
     CallPolicy policy = new NestedThresholdPolicy(settings, 42, actions);
     policy.onStart(0);
@@ -49,6 +49,6 @@
     policy.onDirectoryUpdate(0, new DirectoryUpdate(false, true, exchanges));
     policy.onCall(10, new Call("call-1", 1, 2000, 1, "5550100", 1, false, false, false));
 
-    assertEquals(List.of("there"), actions.sentTo("call-1"));
+    assertEquals(List.of("there"), actions.exchangesTried("call-1"));
   }
 }
--- a/policy/src/test/java/coveladder/RepeatTest.java
+++ b/policy/src/test/java/coveladder/RepeatTest.java
@@ -15,18 +15,19 @@
 
 /** What follows an attempt that may have run, by what the settings say of its class. */
 class RepeatTest {
-  private Bed bed;
+  private PolicyFixture fixture;
 
-  private void begin(double repeatFor, boolean anywhere) {
-    CallClass kind = new CallClass(1, 0.25, 5000, 9000, 1, 10000, List.of(), repeatFor, anywhere);
-    Settings one = Bed.settings(Layout.MESH, 0);
-    bed =
-        new Bed(
+  private void startCall(double repeatWindow, boolean repeatAnywhere) {
+    CallClass callClass =
+        new CallClass(1, 0.25, 5000, 9000, 1, 10000, List.of(), repeatWindow, repeatAnywhere);
+    Settings base = PolicyFixture.settings(Layout.MESH, 0);
+    fixture =
+        new PolicyFixture(
             new Settings(
-                one.layout(),
+                base.layout(),
                 0,
                 4,
-                List.of(kind),
+                List.of(callClass),
                 5,
                 4,
                 true,
@@ -40,67 +41,71 @@
                 10000,
                 3,
                 3000));
-    bed.list(true, Bed.entry(1, 0), Bed.entry(2, 0), Bed.entry(3, 0));
-    for (int far = 1; far <= 3; far++) {
-      bed.circuits(far, 20, 20);
+    fixture.updateDirectory(
+        true,
+        PolicyFixture.inServiceExchange(1, 0),
+        PolicyFixture.inServiceExchange(2, 0),
+        PolicyFixture.inServiceExchange(3, 0));
+    for (int exchange = 1; exchange <= 3; exchange++) {
+      fixture.reportCircuits(exchange, 20, 20);
     }
-    bed.call("a", 0, 1);
+    fixture.offerCall("a", 0, 1);
   }
 
-  private int sends() {
-    return bed.asked.sentTo("a").size();
+  private int attempts() {
+    return fixture.actions.exchangesTried("a").size();
   }
 
   @ParameterizedTest
   @EnumSource(
       value = Outcome.class,
       names = {"TIMED_OUT", "RESET", "CANCELLED", "ERROR"})
-  void aCallThatMayNotBeRepeatedFailsAtOnceOnceItMayHaveRun(Outcome outcome) {
-    begin(0, false);
-    bed.ended("a", 0, 1, outcome, Reason.NONE);
-    bed.pass(4000);
-    assertEquals(1, sends());
-    assertEquals(1, bed.asked.of("fail").size());
-    assertTrue(bed.asked.of("refuse").isEmpty());
+  void anUnrepeatableCallFailsOnceAnAttemptMayHaveTakenEffect(Outcome outcome) {
+    startCall(0, false);
+    fixture.endAttempt("a", 0, 1, outcome, Reason.NONE);
+    fixture.advanceClock(4000);
+    assertEquals(1, attempts());
+    assertEquals(1, fixture.actions.ofType("fail").size());
+    assertTrue(fixture.actions.ofType("refuse").isEmpty());
   }
 
   @ParameterizedTest
   @EnumSource(
       value = Outcome.class,
       names = {"BUSY", "REFUSED", "SKIPPED"})
-  void oneThatNeverRanMayBeSentAgainOrRefused(Outcome outcome) {
-    begin(0, false);
-    bed.ended("a", 0, 1, outcome, Reason.NONE);
-    bed.pass(6000);
-    assertTrue(sends() > 1 || bed.asked.of("refuse").size() == 1);
-    assertTrue(bed.asked.of("fail").isEmpty() || sends() > 1);
+  void anUnrepeatableCallIsResentOrRefusedAfterAnAttemptWithoutEffect(Outcome outcome) {
+    startCall(0, false);
+    fixture.endAttempt("a", 0, 1, outcome, Reason.NONE);
+    fixture.advanceClock(6000);
+    assertTrue(attempts() > 1 || fixture.actions.ofType("refuse").size() == 1);
+    assertTrue(fixture.actions.ofType("fail").isEmpty() || attempts() > 1);
   }
 
   @Test
-  void aNumberThatIsBusyFailsACallThatMayNotBeRepeated() {
-    begin(0, false);
-    bed.ended("a", 0, 1, Outcome.ERROR, Reason.NUMBER_BUSY);
-    assertEquals(1, bed.asked.of("fail").size());
+  void aBusyNumberFailsAnUnrepeatableCall() {
+    startCall(0, false);
+    fixture.endAttempt("a", 0, 1, Outcome.ERROR, Reason.NUMBER_BUSY);
+    assertEquals(1, fixture.actions.ofType("fail").size());
   }
 
   @Test
-  void aKeyedCallIsSentAgainWhileItsKeyHoldsAndWhereItHolds() {
-    begin(1000, false);
-    bed.pass(100);
-    bed.ended("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
-    bed.pass(800);
-    assertEquals(List.of("x1", "x1"), bed.asked.sentTo("a"));
-    bed.ended("a", 1, 1, Outcome.RESET, Reason.NONE, 100);
-    bed.pass(4000);
-    assertEquals(2, sends());
-    assertEquals(1, bed.asked.of("fail").size());
+  void aKeyedCallIsResentWithinItsRepeatWindowToTheSameExchange() {
+    startCall(1000, false);
+    fixture.advanceClock(100);
+    fixture.endAttempt("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
+    fixture.advanceClock(800);
+    assertEquals(List.of("x1", "x1"), fixture.actions.exchangesTried("a"));
+    fixture.endAttempt("a", 1, 1, Outcome.RESET, Reason.NONE, 100);
+    fixture.advanceClock(4000);
+    assertEquals(2, attempts());
+    assertEquals(1, fixture.actions.ofType("fail").size());
   }
 
   @Test
-  void aSafeCallIsSentAgain() {
-    begin(Double.POSITIVE_INFINITY, true);
-    bed.ended("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
-    bed.pass(800);
-    assertEquals(2, sends());
+  void aSafeCallIsResent() {
+    startCall(Double.POSITIVE_INFINITY, true);
+    fixture.endAttempt("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
+    fixture.advanceClock(800);
+    assertEquals(2, attempts());
   }
 }
--- a/policy/src/test/java/coveladder/RulesTest.java
+++ b/policy/src/test/java/coveladder/RulesTest.java
@@ -29,239 +29,253 @@
   private static final int STEPS = 600;
 
   /** What the caller's side knows of one call. */
-  private static final class Life {
+  private static final class CallState {
     double deadline;
-    boolean over;
-    boolean standing;
+    boolean finished;
+    boolean established;
     int attempts;
-    int out = -1;
-    String toward = "";
-    double timesOut;
+    int outstandingAttempt = -1;
+    String exchange = "";
+    double timeoutAt;
     double guardUntil;
-    int finals;
+    int finalAnswers;
   }
 
-  private final Map<String, Life> lives = new LinkedHashMap<>();
-  private final Map<String, ExchangeState> listed = new LinkedHashMap<>();
-  private final Map<String, Double> started = new LinkedHashMap<>();
-  private final Map<String, List<Double>> sends = new LinkedHashMap<>();
+  private final Map<String, CallState> calls = new LinkedHashMap<>();
+  private final Map<String, ExchangeState> directory = new LinkedHashMap<>();
+  private final Map<String, Double> startTimes = new LinkedHashMap<>();
+  private final Map<String, List<Double>> sendTimes = new LinkedHashMap<>();
   private SplittableRandom random;
-  private Bed bed;
-  private int read;
-  private int ids;
-  private int ownCalls;
+  private PolicyFixture fixture;
+  private int checkedActions;
+  private int nextCallNumber;
+  private int localCalls;
 
   @ParameterizedTest
   @EnumSource(Layout.class)
   void theFiveRulesHoldAfterEveryStep(Layout layout) {
     for (int seed = 0; seed < SEEDS; seed++) {
-      begin(layout, seed);
+      startScenario(layout, seed);
       for (int step = 0; step < STEPS; step++) {
-        step();
-        check();
+        randomEvent();
+        checkRules();
       }
       for (int i = 0; i < 1000; i++) {
-        tick(10);
-        check();
+        advanceClock(10);
+        checkRules();
       }
-      lives.forEach((id, life) -> assertTrue(life.over || life.standing, id + " never answered"));
+      calls.forEach(
+          (id, call) -> assertTrue(call.finished || call.established, id + " never answered"));
     }
   }
 
-  private void begin(Layout layout, int seed) {
+  private void startScenario(Layout layout, int seed) {
     random = new SplittableRandom(seed);
-    lives.clear();
-    listed.clear();
-    started.clear();
-    sends.clear();
-    read = 0;
-    ownCalls = 0;
-    bed = new Bed(Bed.settings(layout, layout == Layout.MESH ? 0 : -1));
+    calls.clear();
+    directory.clear();
+    startTimes.clear();
+    sendTimes.clear();
+    checkedActions = 0;
+    localCalls = 0;
+    fixture = new PolicyFixture(PolicyFixture.settings(layout, layout == Layout.MESH ? 0 : -1));
     for (int i = 0; i < 5; i++) {
-      change(i, ExchangeState.IN_SERVICE, 0);
+      updateExchange(i, ExchangeState.IN_SERVICE, 0);
     }
   }
 
-  private void step() {
+  private void randomEvent() {
     switch (random.nextInt(9)) {
-      case 0, 1, 2 -> call();
-      case 3 -> leave();
-      case 4 -> change(random.nextInt(5), ExchangeState.values()[random.nextInt(3)], bed.now);
-      case 5 -> report();
-      case 6 -> tick(200 * random.nextDouble());
-      default -> end();
+      case 0, 1, 2 -> offerRandomCall();
+      case 3 -> abandonRandomCall();
+      case 4 ->
+          updateExchange(random.nextInt(5), ExchangeState.values()[random.nextInt(3)], fixture.now);
+      case 5 -> reportRandomLoad();
+      case 6 -> advanceClock(200 * random.nextDouble());
+      default -> endRandomAttempt();
     }
     if (random.nextInt(4) == 0) {
-      tick(30 * random.nextDouble());
+      advanceClock(30 * random.nextDouble());
     }
   }
 
-  private void call() {
-    String id = "c" + ids++;
-    Life life = new Life();
+  private void offerRandomCall() {
+    String id = "c" + nextCallNumber++;
+    CallState call = new CallState();
     double patience = random.nextInt(10) == 0 ? random.nextInt(30) : 500 + random.nextInt(3000);
-    life.deadline = bed.now + patience;
-    lives.put(id, life);
-    boolean mesh = bed.settings.layout() == Layout.MESH;
+    call.deadline = fixture.now + patience;
+    calls.put(id, call);
+    boolean mesh = fixture.settings.layout() == Layout.MESH;
     boolean transit = mesh && random.nextInt(4) == 0;
-    ownCalls += transit ? 0 : 1;
-    int to = 1 + random.nextInt(4);
+    localCalls += transit ? 0 : 1;
+    int destination = 1 + random.nextInt(4);
     int width = 1 + random.nextInt(2) * random.nextInt(3);
     String number = "n" + random.nextInt(8);
     boolean redial = random.nextInt(4) == 0;
     int type = random.nextInt(2);
-    bed.policy.onCall(
-        bed.now, new Call(id, type, patience, width, number, to, transit, redial, false));
+    fixture.policy.onCall(
+        fixture.now,
+        new Call(id, type, patience, width, number, destination, transit, redial, false));
   }
 
-  private void leave() {
-    String id = any(life -> !life.over && !life.standing);
+  private void abandonRandomCall() {
+    String id = randomCallId(call -> !call.finished && !call.established);
     if (id != null) {
-      lives.get(id).over = true;
-      bed.policy.onCallerAbandoned(bed.now, id);
+      calls.get(id).finished = true;
+      fixture.policy.onCallerAbandoned(fixture.now, id);
     }
   }
 
-  private void change(int number, ExchangeState state, double start) {
+  private void updateExchange(int number, ExchangeState state, double startedAt) {
     String id = "x" + number;
     if (state == ExchangeState.GONE) {
-      listed.remove(id);
+      directory.remove(id);
     } else {
-      listed.put(id, state);
-      started.put(id, start);
+      directory.put(id, state);
+      startTimes.put(id, startedAt);
     }
-    Exchange entry = new Exchange(id, number, state, start);
-    bed.policy.onDirectoryUpdate(bed.now, new DirectoryUpdate(false, false, List.of(entry)));
+    Exchange entry = new Exchange(id, number, state, startedAt);
+    fixture.policy.onDirectoryUpdate(
+        fixture.now, new DirectoryUpdate(false, false, List.of(entry)));
   }
 
-  private void report() {
+  private void reportRandomLoad() {
     int size = random.nextInt(12);
     int free = random.nextInt(size + 1);
-    Load load = Bed.load(free, size);
+    Load load = PolicyFixture.load(free, size);
     String id = "x" + (1 + random.nextInt(4));
-    bed.policy.onLoadReport(bed.now, new LoadReport(id, true, 0, load));
+    fixture.policy.onLoadReport(fixture.now, new LoadReport(id, true, 0, load));
   }
 
-  private void end() {
-    String id = any(life -> life.out >= 0);
+  private void endRandomAttempt() {
+    String id = randomCallId(call -> call.outstandingAttempt >= 0);
     if (id == null) {
       return;
     }
-    Life life = lives.get(id);
-    if (!life.standing && !life.over && random.nextInt(3) > 0) {
-      life.standing = true;
-      bed.stands(id, life.out, random.nextInt(900));
+    CallState call = calls.get(id);
+    if (!call.established && !call.finished && random.nextInt(3) > 0) {
+      call.established = true;
+      fixture.establish(id, call.outstandingAttempt, random.nextInt(900));
       return;
     }
-    Outcome outcome = life.standing ? Outcome.DONE : pick();
-    finishAttempt(id, life, outcome);
+    Outcome outcome = call.established ? Outcome.DONE : randomFailure();
+    endAttempt(id, call, outcome);
   }
 
-  private Outcome pick() {
-    Outcome[] all = Outcome.values();
-    return all[1 + random.nextInt(all.length - 1)];
+  private Outcome randomFailure() {
+    Outcome[] outcomes = Outcome.values();
+    return outcomes[1 + random.nextInt(outcomes.length - 1)];
   }
 
-  private void finishAttempt(String id, Life life, Outcome outcome) {
-    boolean done = life.standing || life.over;
-    int attempt = life.out;
-    life.out = -1;
-    life.over |= life.standing;
-    life.standing = false;
+  private void endAttempt(String id, CallState call, Outcome outcome) {
+    boolean callFinished = call.established || call.finished;
+    int attempt = call.outstandingAttempt;
+    call.outstandingAttempt = -1;
+    call.finished |= call.established;
+    call.established = false;
     if (List.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED).contains(outcome)) {
-      life.guardUntil = bed.now + bed.settings.guardTime();
+      call.guardUntil = fixture.now + fixture.settings.guardTime();
     }
     Reason reason = Reason.values()[random.nextInt(Reason.values().length)];
-    bed.policy.onAttemptEnded(
-        bed.now,
-        new AttemptEnded(id, attempt, life.toward, outcome, reason, 0, 100, done, Load.UNKNOWN));
+    fixture.policy.onAttemptEnded(
+        fixture.now,
+        new AttemptEnded(
+            id, attempt, call.exchange, outcome, reason, 0, 100, callFinished, Load.UNKNOWN));
   }
 
   /** Lets time pass in steps of the clock's resolution, as a controller would. */
-  private void tick(double time) {
-    for (double left = time; left > 0; left -= bed.settings.clockResolution()) {
-      bed.pass(Math.min(left, bed.settings.clockResolution()));
-      check();
-      for (var each : new ArrayList<>(lives.entrySet())) {
-        Life life = each.getValue();
-        if (life.out >= 0 && !life.standing && life.timesOut <= bed.now) {
-          finishAttempt(each.getKey(), life, Outcome.TIMED_OUT);
-          check();
+  private void advanceClock(double duration) {
+    for (double remaining = duration;
+        remaining > 0;
+        remaining -= fixture.settings.clockResolution()) {
+      fixture.advanceClock(Math.min(remaining, fixture.settings.clockResolution()));
+      checkRules();
+      for (var entry : new ArrayList<>(calls.entrySet())) {
+        CallState call = entry.getValue();
+        if (call.outstandingAttempt >= 0 && !call.established && call.timeoutAt <= fixture.now) {
+          endAttempt(entry.getKey(), call, Outcome.TIMED_OUT);
+          checkRules();
         }
       }
     }
   }
 
-  private String any(java.util.function.Predicate<Life> wanted) {
+  private String randomCallId(java.util.function.Predicate<CallState> condition) {
     List<String> ids = new ArrayList<>();
-    lives.forEach(
-        (id, life) -> {
-          if (wanted.test(life)) {
+    calls.forEach(
+        (id, call) -> {
+          if (condition.test(call)) {
             ids.add(id);
           }
         });
     return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
   }
 
-  private void check() {
-    for (; read < bed.asked.all.size(); read++) {
-      var action = bed.asked.all.get(read);
-      Life life = lives.get(action.call());
-      switch (action.what()) {
-        case "send" -> checkSend(action, life);
+  private void checkRules() {
+    for (; checkedActions < fixture.actions.recorded.size(); checkedActions++) {
+      var action = fixture.actions.recorded.get(checkedActions);
+      CallState call = calls.get(action.call());
+      switch (action.type()) {
+        case "send" -> checkSend(action, call);
         case "refuse", "fail" -> {
-          assertTrue(!life.over && !life.standing, "answered a call that was over");
-          assertTrue(bed.now <= life.deadline + 20, "final answer late");
-          assertEquals(1, ++life.finals);
-          life.over = true;
+          assertTrue(!call.finished && !call.established, "answered a call that was over");
+          assertTrue(fixture.now <= call.deadline + 20, "final answer late");
+          assertEquals(1, ++call.finalAnswers);
+          call.finished = true;
         }
         default -> {}
       }
     }
-    for (Life life : lives.values()) {
-      boolean owed = !life.over && !life.standing && bed.now > life.deadline + 200;
-      assertTrue(!owed, "call lost");
+    for (CallState call : calls.values()) {
+      boolean overdue = !call.finished && !call.established && fixture.now > call.deadline + 200;
+      assertTrue(!overdue, "call lost");
     }
   }
 
-  private void checkSend(Recorder.Asked action, Life life) {
-    Settings s = bed.settings;
-    assertTrue(!life.over, "sent after the end");
-    assertEquals(-1, life.out, "two attempts out");
-    assertTrue(bed.now >= life.guardUntil, "release not awaited");
+  private void checkSend(RecordingActions.RecordedAction action, CallState call) {
+    Settings settings = fixture.settings;
+    assertTrue(!call.finished, "sent after the end");
+    assertEquals(-1, call.outstandingAttempt, "two attempts out");
+    assertTrue(fixture.now >= call.guardUntil, "release not awaited");
     assertEquals(
-        ExchangeState.IN_SERVICE, listed.get(action.exchange()), "sent to one that drains");
-    assertTrue(++life.attempts <= s.maxAttempts());
-    life.out = life.attempts - 1;
-    life.toward = action.exchange();
-    life.timesOut = bed.now + action.figure();
-    checkCold(action.exchange());
+        ExchangeState.IN_SERVICE, directory.get(action.exchange()), "sent to one that drains");
+    assertTrue(++call.attempts <= settings.maxAttempts());
+    call.outstandingAttempt = call.attempts - 1;
+    call.exchange = action.exchange();
+    call.timeoutAt = fixture.now + action.value();
+    checkColdBudget(action.exchange());
   }
 
-  private void checkCold(String exchange) {
-    Settings s = bed.settings;
-    List<Double> sent = sends.computeIfAbsent(exchange, e -> new ArrayList<>());
-    sent.add(bed.now);
-    double start = started.get(exchange);
-    if (start > 0 && bed.now < start + s.rampTime()) {
-      long inWindow = sent.stream().filter(t -> t >= start && t > bed.now - s.coldWindow()).count();
-      double mostRate = 2.0 * ownCalls / 2000;
-      double share =
-          s.coldMultiple() * s.coldShare() * mostRate * s.coldWindow() / s.controllerCount();
-      assertTrue(inWindow <= Math.max(1, share), "cold exchange over its budget");
+  private void checkColdBudget(String exchange) {
+    Settings settings = fixture.settings;
+    List<Double> exchangeSendTimes = sendTimes.computeIfAbsent(exchange, e -> new ArrayList<>());
+    exchangeSendTimes.add(fixture.now);
+    double startedAt = startTimes.get(exchange);
+    if (startedAt > 0 && fixture.now < startedAt + settings.rampTime()) {
+      long inWindow =
+          exchangeSendTimes.stream()
+              .filter(sentAt -> sentAt >= startedAt && sentAt > fixture.now - settings.coldWindow())
+              .count();
+      double warmSetupsPerMilli = 2.0 * localCalls / 2000;
+      double budgetShare =
+          settings.coldMultiple()
+              * settings.coldShare()
+              * warmSetupsPerMilli
+              * settings.coldWindow()
+              / settings.controllerCount();
+      assertTrue(inWindow <= Math.max(1, budgetShare), "cold exchange over its budget");
     }
   }
 
   /** Ninety controllers with a call every tenth of a second toward one that has just started. */
   @Test
   void allControllersTogetherStayWithinTheColdBudget() {
-    Settings one = Bed.settings(Layout.MESH, 0);
-    Settings many =
+    Settings base = PolicyFixture.settings(Layout.MESH, 0);
+    Settings settings =
         new Settings(
-            one.layout(),
+            base.layout(),
             0,
             90,
-            one.classes(),
+            base.classes(),
             5,
             4,
             true,
@@ -275,29 +289,40 @@
             10000,
             3,
             3000);
-    List<Double> sent = new ArrayList<>();
+    List<Double> allSendTimes = new ArrayList<>();
     for (int seed = 1; seed <= 90; seed++) {
-      Bed controller = new Bed(many, seed);
+      PolicyFixture controller = new PolicyFixture(settings, seed);
       controller.now = 20000;
-      controller.list(true, Bed.entry(1, 0), Bed.entry(2, 19900), Bed.entry(3, 0));
+      controller.updateDirectory(
+          true,
+          PolicyFixture.inServiceExchange(1, 0),
+          PolicyFixture.inServiceExchange(2, 19900),
+          PolicyFixture.inServiceExchange(3, 0));
       for (int step = 0; step < 90; step++) {
-        int before = controller.asked.of("send").size();
-        controller.call("c" + step, Bed.CHEAP, 2);
-        controller.pass(100);
+        int sentBefore = controller.actions.ofType("send").size();
+        controller.offerCall("c" + step, PolicyFixture.LOW_WORTH, 2);
+        controller.advanceClock(100);
         for (var send :
-            controller.asked.of("send").subList(before, controller.asked.of("send").size())) {
-          sent.add(controller.now);
-          controller.stands(send.call(), 0, 40);
+            controller
+                .actions
+                .ofType("send")
+                .subList(sentBefore, controller.actions.ofType("send").size())) {
+          allSendTimes.add(controller.now);
+          controller.establish(send.call(), 0, 40);
         }
       }
     }
     // What 90 controllers with ten own calls a second make of the cold share of one processor.
-    double budget = many.coldMultiple() * many.coldShare() * 2 * 10 * many.coldWindow() / 1000;
+    double budget =
+        settings.coldMultiple() * settings.coldShare() * 2 * 10 * settings.coldWindow() / 1000;
     for (double end = 20000; end < 29000; end += 500) {
-      final double last = end;
-      long inWindow = sent.stream().filter(t -> t > last - many.coldWindow() && t <= last).count();
+      final double windowEnd = end;
+      long inWindow =
+          allSendTimes.stream()
+              .filter(sentAt -> sentAt > windowEnd - settings.coldWindow() && sentAt <= windowEnd)
+              .count();
       assertTrue(inWindow <= 1.3 * budget, inWindow + " set-ups against " + budget);
     }
-    assertTrue(sent.size() > 20);
+    assertTrue(allSendTimes.size() > 20);
   }
 }
--- a/policy/src/test/java/coveladder/ThresholdsTest.java
+++ b/policy/src/test/java/coveladder/ThresholdsTest.java
@@ -10,103 +10,113 @@
 class ThresholdsTest {
 
   /** The recursion written out with one explicit choice for each class, by memo-free recursion. */
-  private static double value(int n, int busy, int size, double[] l, double mu, double[] b) {
-    if (n == 0) {
+  private static double expectedCost(
+      int steps, int busy, int size, double[] rates, double serviceRate, double[] costs) {
+    if (steps == 0) {
       return 0;
     }
-    double a = 0.99;
-    double here = value(n - 1, busy, size, l, mu, b);
-    double sum = (size - busy) * mu * a * here;
+    double discount = 0.99;
+    double unchanged = expectedCost(steps - 1, busy, size, rates, serviceRate, costs);
+    double sum = (size - busy) * serviceRate * discount * unchanged;
     if (busy > 0) {
-      sum += busy * mu * a * value(n - 1, busy - 1, size, l, mu, b);
+      sum +=
+          busy
+              * serviceRate
+              * discount
+              * expectedCost(steps - 1, busy - 1, size, rates, serviceRate, costs);
     }
-    for (int k = 0; k < l.length; k++) {
-      double blocked = b[k] + a * here;
+    for (int classIndex = 0; classIndex < rates.length; classIndex++) {
+      double blockingCost = costs[classIndex] + discount * unchanged;
       sum +=
-          l[k]
+          rates[classIndex]
               * (busy == size
-                  ? blocked
-                  : Math.min(blocked, a * value(n - 1, busy + 1, size, l, mu, b)));
+                  ? blockingCost
+                  : Math.min(
+                      blockingCost,
+                      discount
+                          * expectedCost(steps - 1, busy + 1, size, rates, serviceRate, costs)));
     }
     return sum;
   }
 
   /** Average cost of fixed thresholds, from the stationary distribution of the busy count. */
-  private static double averageCost(int size, int cheap, double[] l, double mu, double[] b) {
-    double[] p = new double[size + 1];
-    p[0] = 1;
-    double total = 1;
-    for (int i = 1; i <= size; i++) {
-      double in = l[1] + (i - 1 < cheap ? l[0] : 0);
-      p[i] = p[i - 1] * in / (i * mu);
-      total += p[i];
+  private static double averageCost(
+      int size, int threshold, double[] rates, double serviceRate, double[] costs) {
+    double[] weights = new double[size + 1];
+    weights[0] = 1;
+    double totalWeight = 1;
+    for (int busy = 1; busy <= size; busy++) {
+      double admittedRate = rates[1] + (busy - 1 < threshold ? rates[0] : 0);
+      weights[busy] = weights[busy - 1] * admittedRate / (busy * serviceRate);
+      totalWeight += weights[busy];
     }
-    double cost = p[size] * l[1] * b[1];
-    for (int i = cheap; i <= size; i++) {
-      cost += p[i] * l[0] * b[0];
+    double cost = weights[size] * rates[1] * costs[1];
+    for (int busy = threshold; busy <= size; busy++) {
+      cost += weights[busy] * rates[0] * costs[0];
     }
-    return cost / total;
+    return cost / totalWeight;
   }
 
   @Test
-  void oneSweepMatchesTheFormulaWrittenOut() {
-    double[] l = {0.3, 0.1};
-    double[] b = {1, 5};
-    double mu = 0.6 / 3;
-    double[] v = new double[4];
-    for (int n = 1; n <= 6; n++) {
-      v = NestedThresholdPolicy.valueIterationStep(v, l, mu, b, 1);
+  void valueIterationMatchesTheRecursion() {
+    double[] rates = {0.3, 0.1};
+    double[] costs = {1, 5};
+    double serviceRate = 0.6 / 3;
+    double[] values = new double[4];
+    for (int steps = 1; steps <= 6; steps++) {
+      values = NestedThresholdPolicy.valueIterationStep(values, rates, serviceRate, costs, 1);
       for (int busy = 0; busy <= 3; busy++) {
-        assertEquals(value(n, busy, 3, l, mu, b), v[busy], 1e-12);
+        assertEquals(expectedCost(steps, busy, 3, rates, serviceRate, costs), values[busy], 1e-12);
       }
     }
   }
 
   @Test
   void thresholdIsNearTheBestOfAllFixedThresholds() {
-    double[] b = {1, 8};
+    double[] costs = {1, 8};
     double hold = 10000;
     for (double load : new double[] {0.7, 1.0, 1.3}) {
-      double[] l = {0.9 * load * 30 / hold, 0.1 * load * 30 / hold};
-      int found = NestedThresholdPolicy.thresholds(30, l, hold, b)[0];
+      double[] rates = {0.9 * load * 30 / hold, 0.1 * load * 30 / hold};
+      int found = NestedThresholdPolicy.thresholds(30, rates, hold, costs)[0];
       double best = Double.MAX_VALUE;
-      for (int t = 0; t <= 30; t++) {
-        best = Math.min(best, averageCost(30, t, l, 1 / hold, b));
+      for (int threshold = 0; threshold <= 30; threshold++) {
+        best = Math.min(best, averageCost(30, threshold, rates, 1 / hold, costs));
       }
-      assertTrue(averageCost(30, found, l, 1 / hold, b) <= best * 1.1, "load " + load);
+      assertTrue(averageCost(30, found, rates, 1 / hold, costs) <= best * 1.1, "load " + load);
     }
   }
 
   @Test
-  void thresholdsNestByWorthAndTheDearestIsNeverBlockedBeforeFull() {
+  void thresholdsNestByWorthAndTheHighestIsTheGroupSize() {
     var random = new SplittableRandom(3);
     for (int round = 0; round < 200; round++) {
       int size = 1 + random.nextInt(60);
-      double[] l = {
+      double[] rates = {
         random.nextDouble() / 100, random.nextDouble() / 100, random.nextDouble() / 100
       };
-      double[] b = {1, 1 + 5 * random.nextDouble(), 7};
-      int[] t = NestedThresholdPolicy.thresholds(size, l, 8000, b);
-      assertTrue(t[0] <= t[1] && t[1] <= t[2]);
-      assertEquals(size, t[2]);
+      double[] costs = {1, 1 + 5 * random.nextDouble(), 7};
+      int[] thresholds = NestedThresholdPolicy.thresholds(size, rates, 8000, costs);
+      assertTrue(thresholds[0] <= thresholds[1] && thresholds[1] <= thresholds[2]);
+      assertEquals(size, thresholds[2]);
     }
   }
 
   @Test
-  void heavierLoadNeverRaisesTheCheapThreshold() {
-    int before = 40;
+  void higherLoadNeverRaisesTheLowWorthThreshold() {
+    int previous = 40;
     for (double load = 0.2; load < 3; load += 0.1) {
-      double[] l = {0.9 * load * 40 / 8000, 0.1 * load * 40 / 8000};
-      int now = NestedThresholdPolicy.thresholds(40, l, 8000, new double[] {1, 8})[0];
-      assertTrue(now <= before);
-      before = now;
+      double[] rates = {0.9 * load * 40 / 8000, 0.1 * load * 40 / 8000};
+      int threshold = NestedThresholdPolicy.thresholds(40, rates, 8000, new double[] {1, 8})[0];
+      assertTrue(threshold <= previous);
+      previous = threshold;
     }
-    assertTrue(before < 40);
+    assertTrue(previous < 40);
   }
 
   @Test
-  void withOneClassNothingIsBlockedBeforeFull() {
-    int[] t = NestedThresholdPolicy.thresholds(20, new double[] {0.01}, 9000, new double[] {1});
-    assertArrayEquals(new int[] {20}, t);
+  void aSingleClassIsBlockedOnlyWhenTheGroupIsFull() {
+    int[] thresholds =
+        NestedThresholdPolicy.thresholds(20, new double[] {0.01}, 9000, new double[] {1});
+    assertArrayEquals(new int[] {20}, thresholds);
   }
 }
