--- a/policy/src/test/java/coveladder/ColdFleetTest.java
+++ b/policy/src/test/java/coveladder/ColdFleetTest.java
@@ -1,5 +1,7 @@
 package coveladder;
 
+import static coveladder.PolicyFixture.LOW_WORTH;
+import static coveladder.PolicyFixture.inServiceExchange;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import coveladder.CallPolicy.Layout;
@@ -13,15 +15,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cold processor bears what the settings allow it in their window, and chance beside, from all
- * controllers together, each of which knows its own calls alone.
+ * Guards against overload of a processor that has just started: all controllers together must stay
+ * within the budget of each window, but for chance, although each knows only its own calls.
  */
 class ColdFleetTest {
+  /** Seeds of each variant: with all controllers kept running, and with some restarted. */
   private static final int SEEDS = 5;
+
   private static final double WARM_UP_MILLIS = 10_500;
   private static final double STEP_MILLIS = 100;
 
-  /** Share of a warm processor that its work takes up; the controllers are not told. */
+  /** Utilization of a warm processor; the controllers do not know it. */
   private static final double WARM_UTILIZATION = 0.8;
 
   private SplittableRandom random;
@@ -29,29 +33,30 @@
   private double meanCallsPerSecond;
   private int nextCallNumber;
 
-  /** One controller, and what it has sent toward the cold processor, by clock. */
+  /** A controller and the times of its set-ups to the cold processor, which is exchange 2. */
   private final class Controller {
     private final PolicyFixture fixture;
     private final double callsPerSecond;
     private final List<Double> sendTimes = new ArrayList<>();
 
-    Controller(double now, double callsPerSecond, double startedAt) {
-      this.fixture = new PolicyFixture(settings, random.nextLong(), now);
+    Controller(double startTime, double callsPerSecond, double exchangeStartedAt) {
+      this.fixture = new PolicyFixture(settings, random.nextLong(), startTime);
       this.callsPerSecond = callsPerSecond;
       fixture.updateDirectory(
           true,
-          PolicyFixture.inServiceExchange(1, 0),
-          PolicyFixture.inServiceExchange(2, startedAt),
-          PolicyFixture.inServiceExchange(3, 0));
+          inServiceExchange(1, 0),
+          inServiceExchange(2, exchangeStartedAt),
+          inServiceExchange(3, 0));
     }
 
-    /** Calls come evenly drawn, half of them toward the cold processor. */
+    /**
+     * Offers random calls, on average half of them to the cold processor, and ends them at once.
+     */
     void step() {
       int recordedBefore = fixture.actions.recorded.size();
       double expectedCalls = callsPerSecond * STEP_MILLIS / 1000;
       for (double remaining = expectedCalls; random.nextDouble() < remaining; remaining--) {
-        fixture.offerCall(
-            "c" + nextCallNumber++, PolicyFixture.LOW_WORTH, random.nextBoolean() ? 2 : 1);
+        fixture.offerCall("c" + nextCallNumber++, LOW_WORTH, random.nextBoolean() ? 2 : 1);
       }
       fixture.advanceClock(STEP_MILLIS);
       for (var action :
@@ -78,56 +83,64 @@
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
     return new Settings(
         base.layout(),
-        0,
+        /* localExchange= */ 0,
         controllerCount,
         base.classes(),
-        5,
-        4,
-        true,
-        false,
-        false,
-        0,
-        false,
-        300,
-        800,
+        /* clockResolution= */ 5,
+        /* maxAttempts= */ 4,
+        /* mayCancel= */ true,
+        /* mayProbe= */ false,
+        /* mayBroadcast= */ false,
+        /* maxRetryAfter= */ 0,
+        /* directoryOnRequest= */ false,
+        /* guardTime= */ 300,
+        /* retransmitAfter= */ 800,
         coldShare,
-        10_000,
+        /* rampTime= */ 10_000,
         coldMultiple,
         coldWindow);
   }
 
-  /** Some controllers see several times the mean. */
+  /** Creates the controllers: one in five has three times the mean call rate, the others half. */
   private List<Controller> createFleet() {
     List<Controller> fleet = new ArrayList<>();
     for (int i = 0; i < settings.controllerCount(); i++) {
-      double shareOfMean = i % 5 == 0 ? 3 : 0.5;
-      fleet.add(new Controller(20_000, meanCallsPerSecond * shareOfMean, 0));
+      double rateFactor = i % 5 == 0 ? 3 : 0.5;
+      fleet.add(new Controller(20_000, meanCallsPerSecond * rateFactor, 0));
     }
     return fleet;
   }
 
+  /**
+   * Returns the times of all set-ups to the cold processor during its ramp time.
+   *
+   * @param restartControllers whether 70 % of the controllers restart 3 s after the processor
+   */
   private List<Double> sendTimesDuringRamp(boolean restartControllers) {
     List<Controller> fleet = createFleet();
     for (double time = 0; time < WARM_UP_MILLIS; time += STEP_MILLIS) {
       fleet.forEach(Controller::step);
     }
-    double startedAt = fleet.get(0).fixture.now;
+    double exchangeStartedAt = fleet.get(0).fixture.now;
     fleet.forEach(
         controller ->
-            controller.fixture.updateDirectory(
-                false, PolicyFixture.inServiceExchange(2, startedAt)));
+            controller.fixture.updateDirectory(false, inServiceExchange(2, exchangeStartedAt)));
     List<Double> sendTimes = new ArrayList<>();
     for (double time = 0; time < settings.rampTime(); time += STEP_MILLIS) {
       if (restartControllers && time == 3_000) {
         for (int i = 0; i < fleet.size() * 7 / 10; i++) {
           sendTimes.addAll(fleet.get(i).sendTimes);
-          fleet.set(i, new Controller(startedAt + time, fleet.get(i).callsPerSecond, startedAt));
+          fleet.set(
+              i,
+              new Controller(
+                  exchangeStartedAt + time, fleet.get(i).callsPerSecond, exchangeStartedAt));
         }
       }
       fleet.forEach(Controller::step);
     }
     fleet.forEach(controller -> sendTimes.addAll(controller.sendTimes));
-    sendTimes.removeIf(time -> time <= startedAt || time >= startedAt + settings.rampTime());
+    sendTimes.removeIf(
+        time -> time <= exchangeStartedAt || time >= exchangeStartedAt + settings.rampTime());
     return sendTimes;
   }
 
@@ -146,6 +159,7 @@
     meanCallsPerSecond = callsPerSecond;
     double budget =
         coldMultiple * coldShare * 2 * callsPerSecond / WARM_UTILIZATION * coldWindow / 1000;
+    // Chance may add two standard deviations of a Poisson count and two set-ups.
     double maxPerWindow = budget + 2 * Math.sqrt(budget) + 2;
     int totalSent = 0;
     for (int seed = 0; seed < 2 * SEEDS; seed++) {
@@ -162,6 +176,6 @@
     }
     assertTrue(
         totalSent >= 2 * SEEDS * settings.rampTime() / coldWindow * budget / 4,
-        "few in all: " + totalSent);
+        "too few set-ups: " + totalSent);
   }
 }
--- a/policy/src/test/java/coveladder/EmbeddingExampleTest.java
+++ b/policy/src/test/java/coveladder/EmbeddingExampleTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The example that README names: a module inside a controller of one's own. */
+/** The example that README refers to: the policy embedded in another controller. */
 class EmbeddingExampleTest {
 
   @Test
@@ -22,22 +22,22 @@
     Settings settings =
         new Settings(
             Layout.MESH,
-            0,
-            2,
-            List.of(lookup, save),
-            5,
-            6,
-            true,
-            false,
-            false,
-            2000,
-            false,
-            300,
-            800,
-            0.3,
-            13000,
-            3,
-            3000);
+            /* localExchange= */ 0,
+            /* controllerCount= */ 2,
+            /* classes= */ List.of(lookup, save),
+            /* clockResolution= */ 5,
+            /* maxAttempts= */ 6,
+            /* mayCancel= */ true,
+            /* mayProbe= */ false,
+            /* mayBroadcast= */ false,
+            /* maxRetryAfter= */ 2000,
+            /* directoryOnRequest= */ false,
+            /* guardTime= */ 300,
+            /* retransmitAfter= */ 800,
+            /* coldShare= */ 0.3,
+            /* rampTime= */ 13000,
+            /* coldMultiple= */ 3,
+            /* coldWindow= */ 3000);
     RecordingActions actions = new RecordingActions();
 
     CallPolicy policy = new NestedThresholdPolicy(settings, 42, actions);
--- a/policy/src/test/java/coveladder/PolicyFixture.java
+++ b/policy/src/test/java/coveladder/PolicyFixture.java
@@ -16,16 +16,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One module with a clock set by hand, its timers and a recorder of what it asks for. */
+/** A policy with a manual clock, the timers that it started and a record of its actions. */
 final class PolicyFixture {
+  /** Number of the call class of worth 1. */
   static final int LOW_WORTH = 0;
+
+  /** Number of the call class of worth 8. */
   static final int HIGH_WORTH = 1;
 
   final RecordingActions actions = new RecordingActions();
   final Settings settings;
   final NestedThresholdPolicy policy;
   double now;
+
+  /** Number of recorded actions that have been searched for new timers. */
   private int examinedActions;
+
+  /** Running timers, each as its expiry time and its label. */
   private final List<double[]> timers = new ArrayList<>();
 
   PolicyFixture(Settings settings) {
@@ -36,7 +43,7 @@
     this(settings, seed, 0);
   }
 
-  /** A module that starts at a clock. */
+  /** Creates a policy that starts at the given time, ms. */
   PolicyFixture(Settings settings, long seed, double startTime) {
     this.settings = settings;
     now = startTime;
@@ -44,7 +51,10 @@
     policy.onStart(now);
   }
 
-  /** A mesh of four exchanges, 0 being the own one, each with a free group of 20 circuits. */
+  /**
+   * Returns a mesh of four exchanges; 0 is the local one, and the group toward each other one has
+   * 20 circuits, all free.
+   */
   static PolicyFixture mesh() {
     return mesh(7);
   }
@@ -67,21 +77,21 @@
     return new Settings(
         layout,
         localExchange,
-        4,
+        /* controllerCount= */ 4,
         classes(),
-        5,
-        4,
-        true,
-        false,
-        false,
-        0,
-        false,
-        300,
-        800,
-        0.3,
-        10000,
-        3,
-        3000);
+        /* clockResolution= */ 5,
+        /* maxAttempts= */ 4,
+        /* mayCancel= */ true,
+        /* mayProbe= */ false,
+        /* mayBroadcast= */ false,
+        /* maxRetryAfter= */ 0,
+        /* directoryOnRequest= */ false,
+        /* guardTime= */ 300,
+        /* retransmitAfter= */ 800,
+        /* coldShare= */ 0.3,
+        /* rampTime= */ 10000,
+        /* coldMultiple= */ 3,
+        /* coldWindow= */ 3000);
   }
 
   private static List<CallClass> classes() {
@@ -98,19 +108,23 @@
     policy.onDirectoryUpdate(now, new DirectoryUpdate(false, complete, List.of(entries)));
   }
 
+  /** Reports the free circuits and the size of the group toward an exchange. */
   void reportCircuits(int exchange, int free, int size) {
     policy.onLoadReport(now, new LoadReport("x" + exchange, true, 0, load(free, size)));
   }
 
+  /** Returns load figures of which only the circuits are known. */
   static Load load(double free, double size) {
     double unknown = Double.NaN;
     return new Load(free, size, unknown, unknown, unknown, unknown, unknown, unknown);
   }
 
+  /** Offers a call of a local caller with a patience of 3 s. */
   void offerCall(String id, int type, int destination) {
     policy.onCall(now, new Call(id, type, 3000, 1, "n" + id, destination, false, false, false));
   }
 
+  /** Offers a call that another controller forwarded. */
   void offerTransitCall(String id, int type, int destination) {
     policy.onCall(now, new Call(id, type, 3000, 1, "n" + id, destination, true, false, false));
   }
@@ -132,20 +146,21 @@
             id, attempt, "x" + exchange, outcome, reason, 0, elapsed, callFinished, Load.UNKNOWN));
   }
 
-  /** Moves the clock on, firing the timers that run out on the way, each at its time. */
+  /** Advances the clock and fires the timers that expire meanwhile, each at its time. */
   void advanceClock(double duration) {
     double end = now + duration;
-    for (double[] next = removeNextTimer(end); next != null; next = removeNextTimer(end)) {
-      now = Math.max(now, next[0]);
-      policy.onTimer(now, (long) next[1]);
+    for (double[] timer = removeNextTimer(end); timer != null; timer = removeNextTimer(end)) {
+      now = Math.max(now, timer[0]);
+      policy.onTimer(now, (long) timer[1]);
     }
     now = end;
   }
 
+  /** Removes and returns the timer that expires first, at {@code end} at the latest; or null. */
   private double[] removeNextTimer(double end) {
     for (; examinedActions < actions.recorded.size(); examinedActions++) {
       var action = actions.recorded.get(examinedActions);
-      if (action.type().equals("wake")) {
+      if (action.type().equals("startTimer")) {
         timers.add(new double[] {now + action.value(), Long.parseLong(action.call())});
       }
     }
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -1,42 +1,52 @@
 package coveladder;
 
+import static coveladder.PolicyFixture.HIGH_WORTH;
+import static coveladder.PolicyFixture.LOW_WORTH;
+import static coveladder.PolicyFixture.inServiceExchange;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import coveladder.CallPolicy.AttemptEnded;
 import coveladder.CallPolicy.Call;
+import coveladder.CallPolicy.CallClass;
 import coveladder.CallPolicy.Exchange;
 import coveladder.CallPolicy.ExchangeState;
 import coveladder.CallPolicy.Layout;
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
 import coveladder.CallPolicy.Settings;
+import coveladder.RecordingActions.RecordedAction;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Checks the decisions of the policy on single events and short sequences of them. */
 class PolicyTest {
   private final PolicyFixture fixture = PolicyFixture.mesh();
 
   @Test
   void aCallIsSentDirectlyFirst() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     assertEquals(List.of("x2"), fixture.actions.exchangesTried("a"));
   }
 
   @Test
   void aCallWhoseDirectGroupIsFullTriesOneTandem() {
     fixture.reportCircuits(2, 0, 20);
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     assertEquals(1, fixture.actions.exchangesTried("a").size());
     assertFalse(fixture.actions.exchangesTried("a").contains("x2"));
   }
 
-  /** Sends of the last of ten calls that found the group full while tandems turned all back. */
+  /**
+   * Returns the number of attempts of the last of ten calls that find the direct group full, while
+   * tandems crank all calls back after {@code answerTime} ms.
+   */
   private int attemptsAfterCrankbacks(double answerTime) {
     fixture.reportCircuits(2, 0, 20);
     for (int i = 0; i < 10; i++) {
-      fixture.offerCall("c" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("c" + i, LOW_WORTH, 2);
       for (int attempt = 0; attempt < fixture.actions.exchangesTried("c" + i).size(); attempt++) {
         int tandem =
             Integer.parseInt(fixture.actions.exchangesTried("c" + i).get(attempt).substring(1));
@@ -60,7 +70,7 @@
   @Test
   void aCrankbackDoesNotCountAgainstTheDestination() {
     fixture.reportCircuits(2, 0, 20);
-    fixture.offerCall("c", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("c", HIGH_WORTH, 2);
     for (int attempt = 0; attempt < 2; attempt++) {
       int tandem = Integer.parseInt(fixture.actions.exchangesTried("c").get(attempt).substring(1));
       fixture.advanceClock(600);
@@ -68,12 +78,12 @@
     }
     fixture.reportCircuits(2, 20, 20);
     for (int i = 0; i < 4; i++) {
-      fixture.offerCall("d" + i, PolicyFixture.HIGH_WORTH, 2);
+      fixture.offerCall("d" + i, HIGH_WORTH, 2);
       assertEquals(List.of("x2"), fixture.actions.exchangesTried("d" + i));
     }
   }
 
-  /** Settings of the bed with a word to callers of at most so many ms. */
+  /** Returns the settings of the fixture with another longest retry delay of callers, ms. */
   private static Settings withMaxRetryAfter(double maxRetryAfter) {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
     return new Settings(
@@ -98,19 +108,19 @@
 
   @Test
   void anUnroutableCallIsAnsweredImmediately() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.advanceClock(1000);
     fixture.endAttempt("a", 0, 2, Outcome.TIMED_OUT, Reason.NONE, 1000);
-    assertEquals(1, fixture.actions.finalAnswers("a").size(), "the release guard outlasts the aim");
+    assertEquals(1, fixture.actions.finalAnswers("a").size(), "the guard time outlasts the aim");
     fixture.updateDirectory(false, new Exchange("x3", 3, ExchangeState.GONE, 0));
-    fixture.offerCall("b", PolicyFixture.HIGH_WORTH, 3);
+    fixture.offerCall("b", HIGH_WORTH, 3);
     assertEquals(1, fixture.actions.finalAnswers("b").size(), "no exchange to send to");
   }
 
   @Test
   void aCallWithoutDirectGroupIsRefusedAfterItsLastTandem() {
     fixture.reportCircuits(2, 0, 0);
-    fixture.offerCall("a", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("a", HIGH_WORTH, 2);
     for (int attempt = 0; attempt < 2; attempt++) {
       int tandem = Integer.parseInt(fixture.actions.exchangesTried("a").get(attempt).substring(1));
       fixture.endAttempt("a", attempt, tandem, Outcome.BUSY, Reason.TURNED_BACK, 20);
@@ -123,20 +133,22 @@
     for (int exchange = 1; exchange <= 3; exchange++) {
       fixture.reportCircuits(exchange, 0, 20);
     }
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.advanceClock(1000);
     assertTrue(fixture.actions.finalAnswers("a").isEmpty());
   }
 
-  /** Refuses by a full processor that asks for 2 s, which is beyond every aim. */
-  private static RecordingActions.RecordedAction refusalDuringPause(PolicyFixture fixture) {
-    fixture.updateDirectory(
-        true, PolicyFixture.inServiceExchange(0, 0), PolicyFixture.inServiceExchange(2, 0));
+  /**
+   * Returns the refusal of a call whose only exchange has a full processor that asks for 2 s, which
+   * is beyond every aim.
+   */
+  private static RecordedAction refusalByFullProcessor(PolicyFixture fixture) {
+    fixture.updateDirectory(true, inServiceExchange(0, 0), inServiceExchange(2, 0));
     fixture.reportCircuits(2, 20, 20);
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.policy.onAttemptEnded(
         fixture.now,
-        new CallPolicy.AttemptEnded(
+        new AttemptEnded(
             "a",
             0,
             "x2",
@@ -151,21 +163,25 @@
 
   @Test
   void aRefusalAsksToRetryWhenThePauseEnds() {
-    assertEquals(0, refusalDuringPause(new PolicyFixture(withMaxRetryAfter(0))).value());
-    assertEquals(2000, refusalDuringPause(new PolicyFixture(withMaxRetryAfter(5000))).value(), 100);
-    assertEquals(1500, refusalDuringPause(new PolicyFixture(withMaxRetryAfter(1500))).value());
+    assertEquals(0, refusalByFullProcessor(new PolicyFixture(withMaxRetryAfter(0))).value());
+    assertEquals(
+        2000, refusalByFullProcessor(new PolicyFixture(withMaxRetryAfter(5000))).value(), 100);
+    assertEquals(1500, refusalByFullProcessor(new PolicyFixture(withMaxRetryAfter(1500))).value());
   }
 
   @Test
   void anUnreachableExchangeDoesNotUseUpTheAttemptsOfACall() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     for (int attempt = 0; attempt < fixture.actions.exchangesTried("a").size(); attempt++) {
       fixture.endAttempt("a", attempt, 2, Outcome.REFUSED, Reason.NONE, 10);
     }
     assertEquals(1, fixture.actions.exchangesTried("a").size());
   }
 
-  /** Highest occupancy up to which redials of the class enter; the group has 20 circuits. */
+  /**
+   * Returns the highest number of busy circuits at which a redial of the class is admitted, its own
+   * circuits included. The group has 20 circuits.
+   */
   private static int maxOccupancyAdmittingRedials(PolicyFixture fixture, int type, int width) {
     int free = 0;
     String id = "";
@@ -183,32 +199,31 @@
   @Test
   void wideRedialsAreAdmittedUpToNoHigherOccupancyThanNarrowOnes() {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
-    List<CallPolicy.CallClass> classes =
+    List<CallClass> classes =
         List.of(
-            new CallPolicy.CallClass(1, 0.25, 1200, 9000, 1, 10000, List.of()),
-            new CallPolicy.CallClass(2, 0.25, 1200, 9000, 3, 10000, List.of()));
+            new CallClass(1, 0.25, 1200, 9000, 1, 10000, List.of()),
+            new CallClass(2, 0.25, 1200, 9000, 3, 10000, List.of()));
     PolicyFixture loadedFixture =
         new PolicyFixture(
             new Settings(
                 base.layout(),
-                0,
-                4,
+                /* localExchange= */ 0,
+                /* controllerCount= */ 4,
                 classes,
                 base.clockResolution(),
-                4,
-                true,
-                false,
-                false,
-                0,
-                false,
-                300,
-                800,
-                0.3,
-                10000,
-                3,
-                3000));
-    loadedFixture.updateDirectory(
-        true, PolicyFixture.inServiceExchange(0, 0), PolicyFixture.inServiceExchange(2, 0));
+                /* maxAttempts= */ 4,
+                /* mayCancel= */ true,
+                /* mayProbe= */ false,
+                /* mayBroadcast= */ false,
+                /* maxRetryAfter= */ 0,
+                /* directoryOnRequest= */ false,
+                /* guardTime= */ 300,
+                /* retransmitAfter= */ 800,
+                /* coldShare= */ 0.3,
+                /* rampTime= */ 10000,
+                /* coldMultiple= */ 3,
+                /* coldWindow= */ 3000));
+    loadedFixture.updateDirectory(true, inServiceExchange(0, 0), inServiceExchange(2, 0));
     loadedFixture.reportCircuits(2, 0, 20);
     for (int i = 0; i < 60; i++) {
       loadedFixture.offerCall("c" + i, i % 10 == 0 ? 1 : 0, 2);
@@ -228,7 +243,7 @@
     }
     fixture.reportCircuits(2, 0, 20);
     for (int i = 0; i < 50; i++) {
-      fixture.offerCall("c" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("c" + i, LOW_WORTH, 2);
     }
     long searchedBefore = fixture.policy.routesSearched;
     for (int i = 0; i < 100; i++) {
@@ -250,13 +265,13 @@
   @Test
   void whileAnswersAreSlowOnlyLowWorthCallsAreSentOneAtATime() {
     for (int i = 0; i < 6; i++) {
-      fixture.offerCall("s" + i, PolicyFixture.LOW_WORTH, 1 + i % 2);
+      fixture.offerCall("s" + i, LOW_WORTH, 1 + i % 2);
       fixture.advanceClock(700);
       fixture.establish("s" + i, 0, 700);
     }
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 3);
-    fixture.offerCall("b", PolicyFixture.LOW_WORTH, 3);
-    fixture.offerCall("c", PolicyFixture.HIGH_WORTH, 3);
+    fixture.offerCall("a", LOW_WORTH, 3);
+    fixture.offerCall("b", LOW_WORTH, 3);
+    fixture.offerCall("c", HIGH_WORTH, 3);
     assertEquals(List.of("x3"), fixture.actions.exchangesTried("a"));
     assertTrue(fixture.actions.exchangesTried("b").isEmpty());
     assertEquals(List.of("x3"), fixture.actions.exchangesTried("c"));
@@ -265,7 +280,7 @@
   @Test
   void aCallWithoutDirectGroupUsesATandem() {
     fixture.reportCircuits(2, 0, 0);
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     assertEquals(1, fixture.actions.exchangesTried("a").size());
     assertFalse(fixture.actions.exchangesTried("a").contains("x2"));
   }
@@ -275,7 +290,7 @@
     fixture.reportCircuits(1, 1, 20);
     fixture.reportCircuits(3, 1, 20);
     fixture.reportCircuits(2, 0, 20);
-    fixture.offerCall("a", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("a", HIGH_WORTH, 2);
     assertTrue(fixture.actions.exchangesTried("a").isEmpty());
     fixture.reportCircuits(1, 2, 20);
     assertEquals(List.of("x1"), fixture.actions.exchangesTried("a"));
@@ -283,10 +298,10 @@
 
   @Test
   void aTransitCallIsSentDirectlyOrRefused() {
-    fixture.offerTransitCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerTransitCall("a", LOW_WORTH, 2);
     assertEquals(List.of("x2"), fixture.actions.exchangesTried("a"));
     fixture.reportCircuits(2, 0, 20);
-    fixture.offerTransitCall("b", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerTransitCall("b", HIGH_WORTH, 2);
     assertTrue(fixture.actions.exchangesTried("b").isEmpty());
     assertEquals(List.of("refuse"), fixture.actions.finalAnswers("b"));
   }
@@ -296,8 +311,8 @@
     for (int exchange = 1; exchange <= 3; exchange++) {
       fixture.reportCircuits(exchange, 0, 20);
     }
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
-    fixture.offerCall("b", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
+    fixture.offerCall("b", HIGH_WORTH, 2);
     fixture.advanceClock(300);
     fixture.reportCircuits(2, 1, 20);
     assertEquals(List.of("x2"), fixture.actions.exchangesTried("b"));
@@ -308,7 +323,7 @@
 
   @Test
   void theGuardTimePassesBeforeTheRetryOfATimedOutAttempt() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.advanceClock(400);
     fixture.endAttempt("a", 0, 2, Outcome.TIMED_OUT, Reason.NONE, 400);
     assertEquals(1, fixture.actions.exchangesTried("a").size());
@@ -324,9 +339,9 @@
 
   @Test
   void callsWaitWhileTheLocalProcessorIsDown() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.endAttempt("a", 0, 2, Outcome.SKIPPED, Reason.PROCESSOR_FULL, 0);
-    fixture.offerCall("b", PolicyFixture.HIGH_WORTH, 3);
+    fixture.offerCall("b", HIGH_WORTH, 3);
     assertEquals(1, fixture.actions.ofType("send").size());
     fixture.advanceClock(600);
     fixture.reportCircuits(2, 20, 20);
@@ -339,8 +354,7 @@
       fixture.reportCircuits(2, 0, 20);
       fixture.reportCircuits(1, 0, 20);
       fixture.reportCircuits(3, 0, 20);
-      fixture.offerCall(
-          "c" + i, i % 10 == 0 ? PolicyFixture.HIGH_WORTH : PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("c" + i, i % 10 == 0 ? HIGH_WORTH : LOW_WORTH, 2);
       fixture.advanceClock(50);
     }
     fixture.advanceClock(4000);
@@ -350,8 +364,7 @@
       fixture.reportCircuits(2, free, 20);
       for (boolean redial : new boolean[] {false, true}) {
         String id = "f" + free + redial;
-        fixture.policy.onCall(
-            fixture.now, new CallPolicy.Call(id, 0, 3000, 1, id, 2, false, redial, false));
+        fixture.policy.onCall(fixture.now, new Call(id, 0, 3000, 1, id, 2, false, redial, false));
         if (fixture.actions.exchangesTried(id).isEmpty()) {
           maxFreeBlockingFirstCalls = redial ? maxFreeBlockingFirstCalls : free;
           maxFreeBlockingRedials = redial ? free : maxFreeBlockingRedials;
@@ -371,9 +384,8 @@
     for (int exchange = 1; exchange <= 3; exchange++) {
       fixture.reportCircuits(exchange, 0, 20);
     }
-    fixture.policy.onCall(
-        fixture.now, new CallPolicy.Call("r", 0, 3000, 1, "n", 2, false, true, false));
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.policy.onCall(fixture.now, new Call("r", 0, 3000, 1, "n", 2, false, true, false));
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.reportCircuits(2, 1, 20);
     assertEquals(1, fixture.actions.exchangesTried("a").size());
     assertTrue(fixture.actions.exchangesTried("r").isEmpty());
@@ -381,7 +393,7 @@
 
   @Test
   void noMoreThanTheMaximumOfAttemptsIsSent() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     for (int i = 0; i < fixture.settings.maxAttempts(); i++) {
       assertEquals(i + 1, fixture.actions.exchangesTried("a").size());
       fixture.endAttempt("a", i, 2, Outcome.ERROR, Reason.NONE, 20);
@@ -392,7 +404,7 @@
 
   @Test
   void everyCallGetsItsFinalAnswerInTime() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.advanceClock(3000);
     assertEquals(1, fixture.actions.finalAnswers("a").size());
     fixture.endAttempt("a", 0, 2, Outcome.CANCELLED, Reason.NONE);
@@ -402,7 +414,7 @@
 
   @Test
   void anAbandonedCallCausesNoFurtherActions() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.policy.onCallerAbandoned(fixture.now, "a");
     fixture.endAttempt("a", 0, 2, Outcome.BUSY, Reason.NO_CIRCUIT);
     fixture.advanceClock(5000);
@@ -413,9 +425,9 @@
   @Test
   void nothingIsSentToADrainingOrRemovedExchange() {
     fixture.updateDirectory(false, new Exchange("x2", 2, ExchangeState.DRAINING, 0));
-    fixture.offerCall("a", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("a", HIGH_WORTH, 2);
     fixture.updateDirectory(false, new Exchange("x2", 2, ExchangeState.GONE, 0));
-    fixture.offerCall("b", PolicyFixture.HIGH_WORTH, 2);
+    fixture.offerCall("b", HIGH_WORTH, 2);
     fixture.advanceClock(3000);
     assertTrue(fixture.actions.ofType("send").isEmpty());
     assertEquals(1, fixture.actions.finalAnswers("a").size());
@@ -425,20 +437,21 @@
   @Test
   void aColdExchangeReceivesThisControllersShareOfItsBudget() {
     for (int i = 0; i < 40; i++) {
-      fixture.offerCall("w" + i, PolicyFixture.LOW_WORTH, 1);
+      fixture.offerCall("w" + i, LOW_WORTH, 1);
       fixture.establish("w" + i, 0, 40);
       fixture.endAttempt("w" + i, 0, 1, Outcome.DONE, Reason.NONE);
     }
     fixture.advanceClock(2100);
-    fixture.updateDirectory(false, PolicyFixture.inServiceExchange(2, 2000));
+    fixture.updateDirectory(false, inServiceExchange(2, 2000));
     fixture.reportCircuits(2, 90, 90);
     int sentToCold = 0;
     for (int i = 0; i < 40; i++) {
-      fixture.offerCall("c" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("c" + i, LOW_WORTH, 2);
       fixture.establish("c" + i, 0, 40);
       sentToCold += fixture.actions.exchangesTried("c" + i).contains("x2") ? 1 : 0;
     }
-    // 3 times a cold share of 0.3, of twice 20 calls a second, for 3 s, over 4 controllers.
+    // 3 (multiple) * 0.3 (cold share) * 2 set-ups for each of 20 calls/s * 3 s / 4 controllers =
+    // 27.
     assertTrue(sentToCold == 26 || sentToCold == 27, "sent " + sentToCold);
   }
 
@@ -447,7 +460,7 @@
     fixture.reportCircuits(1, 1, 4);
     fixture.reportCircuits(3, 0, 4);
     fixture.reportCircuits(2, 0, 4);
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     assertEquals(List.of("x1"), fixture.actions.exchangesTried("a"));
   }
 
@@ -457,23 +470,26 @@
     for (int i = 0; i < 5; i++) {
       fixture.reportCircuits(1, 5, 20);
       fixture.reportCircuits(3, 9, 20);
-      fixture.offerCall("a" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("a" + i, LOW_WORTH, 2);
       assertEquals(List.of("x3"), fixture.actions.exchangesTried("a" + i));
       fixture.endAttempt("a" + i, 0, 3, Outcome.ERROR, Reason.NUMBER_BUSY, 20);
     }
   }
 
-  /** Where many pairs have no group, a tandem that carried a call there is worth remembering. */
+  /**
+   * Guards against a search for a new tandem on every call where many pairs of exchanges have no
+   * direct group: a tandem that carried a call is preferred to one with more free circuits.
+   */
   @Test
   void aTandemThatCarriedACallIsPreferredUntilItCranksBack() {
     fixture.reportCircuits(2, 0, 0);
     fixture.reportCircuits(1, 9, 20);
     fixture.reportCircuits(3, 0, 20);
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.establish("a", 0, 40);
     fixture.reportCircuits(1, 5, 20);
     fixture.reportCircuits(3, 9, 20);
-    fixture.offerCall("b", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("b", LOW_WORTH, 2);
     assertEquals(List.of("x1"), fixture.actions.exchangesTried("b"));
     fixture.endAttempt("b", 0, 1, Outcome.BUSY, Reason.TURNED_BACK, 40);
     assertEquals(List.of("x1", "x3"), fixture.actions.exchangesTried("b"));
@@ -482,7 +498,7 @@
   @Test
   void aSilentExchangeReceivesOneTrialCallAtATime() {
     for (int i = 0; i < 12; i++) {
-      fixture.offerCall("c" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("c" + i, LOW_WORTH, 2);
     }
     int sent = fixture.actions.ofType("send").size();
     assertTrue(sent <= 4);
@@ -491,24 +507,25 @@
       fixture.endAttempt("c" + i, 0, 2, Outcome.TIMED_OUT, Reason.NONE, 1200);
     }
     for (int i = 0; i < 12; i++) {
-      fixture.offerCall("d" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("d" + i, LOW_WORTH, 2);
     }
     fixture.advanceClock(600);
     for (int i = 0; i < 12; i++) {
-      fixture.offerCall("e" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("e" + i, LOW_WORTH, 2);
     }
     assertEquals(sent + 1, fixture.actions.ofType("send").size());
   }
 
   /**
-   * A pause that a rare caller never meets holds nobody back: it grows with the time between calls.
+   * Guards against pauses that are shorter than the time between two calls and so hold back none of
+   * them: the pause has to grow with the time between calls.
    */
   @Test
   void pausesGrowWhileAProcessorStaysFull() {
     int answered = 0;
     for (int step = 0; step < 1000; step++) {
       if (step % 25 == 0) {
-        fixture.offerCall("p" + step, PolicyFixture.LOW_WORTH, 2);
+        fixture.offerCall("p" + step, LOW_WORTH, 2);
       }
       fixture.advanceClock(50);
       for (; answered < fixture.actions.ofType("send").size(); answered++) {
@@ -520,7 +537,10 @@
     assertTrue(answered >= 4 && answered <= 30, "answered " + answered);
   }
 
-  /** Many controllers with a trial each push over what none of them would push over alone. */
+  /**
+   * Guards against trial calls that overload an exchange in their sum, because many controllers
+   * send one each, although no controller would overload it alone.
+   */
   @Test
   void trialCallsOfManyControllersAreSpreadInTime() {
     int trialCalls = 0;
@@ -528,7 +548,7 @@
       PolicyFixture controller = PolicyFixture.mesh(seed);
       for (int i = 0; i < 40; i++) {
         String id = "t" + i;
-        controller.offerCall(id, PolicyFixture.LOW_WORTH, 2);
+        controller.offerCall(id, LOW_WORTH, 2);
         controller.advanceClock(1200);
         if (!controller.actions.exchangesTried(id).isEmpty()) {
           controller.endAttempt(id, 0, 2, Outcome.TIMED_OUT, Reason.NONE, 1200);
@@ -536,13 +556,13 @@
         }
       }
     }
-    assertTrue(trialCalls > 0 && trialCalls < 40 * 40 / 2, "tried " + trialCalls);
+    assertTrue(trialCalls > 0 && trialCalls < 40 * 40 / 2, "trial calls " + trialCalls);
   }
 
   @Test
   void badAnswersFromAllExchangesCountAgainstTheLocalProcessor() {
     for (int exchange = 1; exchange <= 3; exchange++) {
-      fixture.offerCall("a" + exchange, PolicyFixture.LOW_WORTH, exchange);
+      fixture.offerCall("a" + exchange, LOW_WORTH, exchange);
     }
     fixture.advanceClock(1200);
     for (int exchange = 1; exchange <= 3; exchange++) {
@@ -551,40 +571,45 @@
     int sentBefore = fixture.actions.ofType("send").size();
     fixture.advanceClock(600);
     for (int i = 0; i < 9; i++) {
-      fixture.offerCall("b" + i, PolicyFixture.LOW_WORTH, 1 + i % 3);
+      fixture.offerCall("b" + i, LOW_WORTH, 1 + i % 3);
     }
-    int sentAfter = fixture.actions.ofType("send").size() - sentBefore;
-    assertTrue(sentAfter >= 1 && sentAfter <= 3, "tried " + sentAfter);
+    int sentSince = fixture.actions.ofType("send").size() - sentBefore;
+    assertTrue(sentSince >= 1 && sentSince <= 3, "sent " + sentSince);
   }
 
-  /** A controller that stood still finds old answers; the far end that gave them is not slow. */
+  /**
+   * Guards against taking an exchange for slow after a stall of the local controller, which finds
+   * old answers to read when it continues.
+   */
   @Test
   void localStallsDoNotCountAgainstRemoteExchanges() {
     for (int round = 0; round < 8; round++) {
-      fixture.offerCall("s" + round, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("s" + round, LOW_WORTH, 2);
       fixture.now += 900;
       fixture.establish("s" + round, 0, 900);
     }
     fixture.advanceClock(200);
     for (int i = 0; i < 4; i++) {
-      fixture.offerCall("a" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("a" + i, LOW_WORTH, 2);
       assertEquals(List.of("x2"), fixture.actions.exchangesTried("a" + i));
     }
   }
 
-  /** Of calls that lay unread those that can still make their aim go first, dearest first. */
+  /**
+   * Calls that lay unread during a stall are served after those that can still reach their aim;
+   * these are served first, most valuable first.
+   */
   @Test
   void callsWhoseAimPassedDuringAStallAreServedLast() {
-    fixture.offerCall("a", PolicyFixture.LOW_WORTH, 2);
+    fixture.offerCall("a", LOW_WORTH, 2);
     fixture.advanceClock(200);
     for (int exchange = 1; exchange <= 3; exchange++) {
       fixture.reportCircuits(exchange, 0, 20);
     }
     fixture.now += 1500;
     fixture.policy.onCall(
-        fixture.now,
-        new Call("old", PolicyFixture.LOW_WORTH, 1600, 1, "n", 2, false, false, false));
-    fixture.offerCall("new", PolicyFixture.LOW_WORTH, 2);
+        fixture.now, new Call("old", LOW_WORTH, 1600, 1, "n", 2, false, false, false));
+    fixture.offerCall("new", LOW_WORTH, 2);
     fixture.reportCircuits(2, 1, 20);
     assertEquals(List.of("x2"), fixture.actions.exchangesTried("new"));
     assertTrue(fixture.actions.exchangesTried("old").isEmpty());
@@ -604,7 +629,7 @@
   void fewSetUpsButSomeAreSentWhenAllExchangesAnswerSlowly() {
     for (int round = 0; round < 12; round++) {
       for (int exchange = 1; exchange <= 3; exchange++) {
-        fixture.offerCall("r" + round + exchange, PolicyFixture.LOW_WORTH, exchange);
+        fixture.offerCall("r" + round + exchange, LOW_WORTH, exchange);
       }
       fixture.advanceClock(1150);
       for (var send : fixture.actions.ofType("send")) {
@@ -615,24 +640,24 @@
     }
     int sentBefore = fixture.actions.ofType("send").size();
     for (int i = 0; i < 10; i++) {
-      fixture.offerCall("z" + i, PolicyFixture.LOW_WORTH, 1 + i % 3);
+      fixture.offerCall("z" + i, LOW_WORTH, 1 + i % 3);
       fixture.advanceClock(300);
       fixture.reportCircuits(1, 20, 20);
     }
-    int sentAfter = fixture.actions.ofType("send").size() - sentBefore;
-    assertTrue(sentAfter == 1, "tried " + sentAfter);
+    int sentSince = fixture.actions.ofType("send").size() - sentBefore;
+    assertTrue(sentSince == 1, "sent " + sentSince);
   }
 
   @Test
   void aSlowProcessorIsNotUsedAsTandem() {
     for (int round = 0; round < 6; round++) {
-      fixture.offerCall("r" + round, PolicyFixture.LOW_WORTH, 1);
+      fixture.offerCall("r" + round, LOW_WORTH, 1);
       fixture.advanceClock(700);
       fixture.establish("r" + round, 0, 700);
     }
     fixture.reportCircuits(2, 0, 20);
     for (int i = 0; i < 8; i++) {
-      fixture.offerCall("a" + i, PolicyFixture.LOW_WORTH, 2);
+      fixture.offerCall("a" + i, LOW_WORTH, 2);
       assertFalse(fixture.actions.exchangesTried("a" + i).contains("x1"));
     }
   }
@@ -641,7 +666,7 @@
   void callsToACongestedNumberAreRefused() {
     for (int i = 0; i < 5; i++) {
       fixture.policy.onCall(
-          fixture.now, new CallPolicy.Call("h" + i, 0, 3000, 1, "hot", 2, false, false, false));
+          fixture.now, new Call("h" + i, 0, 3000, 1, "hot", 2, false, false, false));
       if (i == 0) {
         fixture.endAttempt("h0", 0, 2, Outcome.ERROR, Reason.NUMBER_BUSY, 40);
       }
@@ -659,8 +684,7 @@
         current.reportCircuits(2, 0, 20);
         current.reportCircuits(1, tandemsCarry ? 20 : 0, 20);
         current.reportCircuits(3, tandemsCarry ? 20 : 0, 20);
-        current.offerCall(
-            "c" + i, i % 10 == 0 ? PolicyFixture.HIGH_WORTH : PolicyFixture.LOW_WORTH, 2);
+        current.offerCall("c" + i, i % 10 == 0 ? HIGH_WORTH : LOW_WORTH, 2);
         if (tandemsCarry) {
           current.establish("c" + i, 0, 40);
         }
@@ -668,7 +692,7 @@
       }
       current.advanceClock(2000);
       current.reportCircuits(2, 1, 20);
-      current.offerCall("last", PolicyFixture.LOW_WORTH, 2);
+      current.offerCall("last", LOW_WORTH, 2);
     }
     assertEquals(List.of("x2"), fixture.actions.exchangesTried("last"));
     assertEquals(List.of("refuse"), withoutTandems.actions.finalAnswers("last"));
@@ -682,54 +706,51 @@
             () ->
                 new Settings(
                     Layout.MESH,
-                    0,
-                    0,
-                    List.of(),
-                    5,
-                    4,
-                    true,
-                    false,
-                    false,
-                    0,
-                    false,
-                    1,
-                    1,
-                    1,
-                    1,
-                    1,
-                    1));
+                    /* localExchange= */ 0,
+                    /* controllerCount= */ 0,
+                    /* classes= */ List.of(),
+                    /* clockResolution= */ 5,
+                    /* maxAttempts= */ 4,
+                    /* mayCancel= */ true,
+                    /* mayProbe= */ false,
+                    /* mayBroadcast= */ false,
+                    /* maxRetryAfter= */ 0,
+                    /* directoryOnRequest= */ false,
+                    /* guardTime= */ 1,
+                    /* retransmitAfter= */ 1,
+                    /* coldShare= */ 1,
+                    /* rampTime= */ 1,
+                    /* coldMultiple= */ 1,
+                    /* coldWindow= */ 1));
     assertTrue(error.getMessage().contains("instances=0"));
   }
 
   @Test
   void callsUseOnlyThePoolsOfTheirClass() {
-    var callClass = new CallPolicy.CallClass(1, 0, 1000, 6000, 1, 9000, List.of(1, 3));
+    var callClass = new CallClass(1, 0, 1000, 6000, 1, 9000, List.of(1, 3));
     Settings base = PolicyFixture.settings(Layout.POOLS, -1);
     var poolFixture =
         new PolicyFixture(
             new Settings(
                 base.layout(),
-                -1,
-                4,
-                List.of(callClass),
-                5,
-                4,
-                true,
-                false,
-                false,
-                0,
-                false,
-                300,
-                800,
-                0.3,
-                10000,
-                3,
-                3000));
+                /* localExchange= */ -1,
+                /* controllerCount= */ 4,
+                /* classes= */ List.of(callClass),
+                /* clockResolution= */ 5,
+                /* maxAttempts= */ 4,
+                /* mayCancel= */ true,
+                /* mayProbe= */ false,
+                /* mayBroadcast= */ false,
+                /* maxRetryAfter= */ 0,
+                /* directoryOnRequest= */ false,
+                /* guardTime= */ 300,
+                /* retransmitAfter= */ 800,
+                /* coldShare= */ 0.3,
+                /* rampTime= */ 10000,
+                /* coldMultiple= */ 3,
+                /* coldWindow= */ 3000));
     poolFixture.updateDirectory(
-        true,
-        PolicyFixture.inServiceExchange(1, 0),
-        PolicyFixture.inServiceExchange(2, 0),
-        PolicyFixture.inServiceExchange(3, 0));
+        true, inServiceExchange(1, 0), inServiceExchange(2, 0), inServiceExchange(3, 0));
     poolFixture.reportCircuits(1, 0, 20);
     poolFixture.reportCircuits(2, 20, 20);
     poolFixture.reportCircuits(3, 20, 20);
@@ -741,7 +762,7 @@
   void anEventExaminesNoMoreWaitingCallsThanItMaySend() {
     PolicyFixture fixture = PolicyFixture.mesh();
     for (int i = 0; i < 400; i++) {
-      fixture.offerCall("c" + i, PolicyFixture.LOW_WORTH, 1 + i % 3);
+      fixture.offerCall("c" + i, LOW_WORTH, 1 + i % 3);
     }
     long examinedBefore = fixture.policy.waitingCallsExamined;
     for (int i = 0; i < 50; i++) {
@@ -749,6 +770,6 @@
     }
     assertTrue(
         fixture.policy.waitingCallsExamined - examinedBefore <= 2 * 50,
-        "looked at " + (fixture.policy.waitingCallsExamined - examinedBefore));
+        "examined " + (fixture.policy.waitingCallsExamined - examinedBefore));
   }
 }
--- a/policy/src/test/java/coveladder/RecordingActions.java
+++ b/policy/src/test/java/coveladder/RecordingActions.java
@@ -4,9 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Actions that only write down what was asked for. */
+/** Actions that are recorded and not carried out. */
 final class RecordingActions implements Actions {
-  /** One action: what was asked, for which call, toward which exchange, with which figure. */
+  /**
+   * A requested action.
+   *
+   * @param type name of the action
+   * @param call id of the call, or the label of a started timer; empty: none
+   * @param exchange id of the exchange; empty: none
+   * @param value number that belongs to the action, such as a delay in ms; 0: none
+   */
   record RecordedAction(String type, String call, String exchange, double value) {}
 
   final List<RecordedAction> recorded = new ArrayList<>();
@@ -15,6 +22,7 @@
     return recorded.stream().filter(action -> action.type().equals(type)).toList();
   }
 
+  /** Returns the types of the final answers given to a call. */
   List<String> finalAnswers(String call) {
     return recorded.stream()
         .filter(
@@ -25,6 +33,7 @@
         .toList();
   }
 
+  /** Returns the ids of the exchanges to which the attempts of a call were sent, in order. */
   List<String> exchangesTried(String call) {
     return ofType("send").stream()
         .filter(action -> action.call().equals(call))
@@ -54,7 +63,7 @@
 
   @Override
   public void startTimer(double delayMillis, long label) {
-    recorded.add(new RecordedAction("wake", String.valueOf(label), "", delayMillis));
+    recorded.add(new RecordedAction("startTimer", String.valueOf(label), "", delayMillis));
   }
 
   @Override
@@ -64,7 +73,7 @@
 
   @Override
   public void broadcast(byte[] payload) {
-    recorded.add(new RecordedAction("tell", "", "", payload.length));
+    recorded.add(new RecordedAction("broadcast", "", "", payload.length));
   }
 
   @Override
--- a/policy/src/test/java/coveladder/RepeatTest.java
+++ b/policy/src/test/java/coveladder/RepeatTest.java
@@ -1,5 +1,6 @@
 package coveladder;
 
+import static coveladder.PolicyFixture.inServiceExchange;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,10 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What follows an attempt that may have run, by what the settings say of its class. */
+/** Checks whether a call is repeated after a failed attempt, as the settings of its class allow. */
 class RepeatTest {
   private PolicyFixture fixture;
 
+  /** Offers call {@code a} to exchange 1; its class has the given repeat settings. */
   private void startCall(double repeatWindow, boolean repeatAnywhere) {
     CallClass callClass =
         new CallClass(1, 0.25, 5000, 9000, 1, 10000, List.of(), repeatWindow, repeatAnywhere);
@@ -25,27 +27,24 @@
         new PolicyFixture(
             new Settings(
                 base.layout(),
-                0,
-                4,
-                List.of(callClass),
-                5,
-                4,
-                true,
-                false,
-                false,
-                2000,
-                false,
-                300,
-                800,
-                0.3,
-                10000,
-                3,
-                3000));
+                /* localExchange= */ 0,
+                /* controllerCount= */ 4,
+                /* classes= */ List.of(callClass),
+                /* clockResolution= */ 5,
+                /* maxAttempts= */ 4,
+                /* mayCancel= */ true,
+                /* mayProbe= */ false,
+                /* mayBroadcast= */ false,
+                /* maxRetryAfter= */ 2000,
+                /* directoryOnRequest= */ false,
+                /* guardTime= */ 300,
+                /* retransmitAfter= */ 800,
+                /* coldShare= */ 0.3,
+                /* rampTime= */ 10000,
+                /* coldMultiple= */ 3,
+                /* coldWindow= */ 3000));
     fixture.updateDirectory(
-        true,
-        PolicyFixture.inServiceExchange(1, 0),
-        PolicyFixture.inServiceExchange(2, 0),
-        PolicyFixture.inServiceExchange(3, 0));
+        true, inServiceExchange(1, 0), inServiceExchange(2, 0), inServiceExchange(3, 0));
     for (int exchange = 1; exchange <= 3; exchange++) {
       fixture.reportCircuits(exchange, 20, 20);
     }
--- a/policy/src/test/java/coveladder/RulesTest.java
+++ b/policy/src/test/java/coveladder/RulesTest.java
@@ -1,5 +1,7 @@
 package coveladder;
 
+import static coveladder.PolicyFixture.LOW_WORTH;
+import static coveladder.PolicyFixture.inServiceExchange;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,37 +16,63 @@
 import coveladder.CallPolicy.Outcome;
 import coveladder.CallPolicy.Reason;
 import coveladder.CallPolicy.Settings;
+import coveladder.RecordingActions.RecordedAction;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Thousands of random legal events; the five rules are asserted after every step. */
+/**
+ * Passes thousands of random legal events to the policy and checks its five rules after every step:
+ *
+ * <ul>
+ *   <li>an attempt is sent only to an exchange in service;
+ *   <li>only one attempt of a call is outstanding, and the guard time passes before the next;
+ *   <li>a call has no more attempts than the settings allow, and none after its end;
+ *   <li>a call that is not established gets exactly one final answer, in time;
+ *   <li>a cold exchange receives no more set-ups than its budget.
+ * </ul>
+ */
 class RulesTest {
   private static final int SEEDS = 60;
+
+  /** Random events for each seed. */
   private static final int STEPS = 600;
 
-  /** What the caller's side knows of one call. */
+  /** The expected state of one call. */
   private static final class CallState {
     double deadline;
     boolean finished;
     boolean established;
     int attempts;
+
+    /** Number of the attempt that is in flight or established; -1: none. */
     int outstandingAttempt = -1;
+
+    /** Id of the exchange of the last attempt. */
     String exchange = "";
+
     double timeoutAt;
     double guardUntil;
     int finalAnswers;
   }
 
   private final Map<String, CallState> calls = new LinkedHashMap<>();
+
+  /** States of the exchanges in the directory, by id. */
   private final Map<String, ExchangeState> directory = new LinkedHashMap<>();
+
+  /** Times of the last start of the exchanges, by id. */
   private final Map<String, Double> startTimes = new LinkedHashMap<>();
+
+  /** Times of all set-ups sent to the exchanges, by id. */
   private final Map<String, List<Double>> sendTimes = new LinkedHashMap<>();
+
   private SplittableRandom random;
   private PolicyFixture fixture;
   private int checkedActions;
@@ -161,6 +189,7 @@
     endAttempt(id, call, outcome);
   }
 
+  /** Returns any outcome but {@link Outcome#DONE}. */
   private Outcome randomFailure() {
     Outcome[] outcomes = Outcome.values();
     return outcomes[1 + random.nextInt(outcomes.length - 1)];
@@ -182,7 +211,7 @@
             id, attempt, call.exchange, outcome, reason, 0, 100, callFinished, Load.UNKNOWN));
   }
 
-  /** Lets time pass in steps of the clock's resolution, as a controller would. */
+  /** Advances the clock in steps of its resolution and times out attempts, as a controller does. */
   private void advanceClock(double duration) {
     for (double remaining = duration;
         remaining > 0;
@@ -199,7 +228,8 @@
     }
   }
 
-  private String randomCallId(java.util.function.Predicate<CallState> condition) {
+  /** Returns the id of a random call that meets the condition; null if there is none. */
+  private String randomCallId(Predicate<CallState> condition) {
     List<String> ids = new ArrayList<>();
     calls.forEach(
         (id, call) -> {
@@ -217,7 +247,9 @@
       switch (action.type()) {
         case "send" -> checkSend(action, call);
         case "refuse", "fail" -> {
-          assertTrue(!call.finished && !call.established, "answered a call that was over");
+          assertTrue(
+              !call.finished && !call.established,
+              "final answer to a call that is established or finished");
           assertTrue(fixture.now <= call.deadline + 20, "final answer late");
           assertEquals(1, ++call.finalAnswers);
           call.finished = true;
@@ -227,17 +259,19 @@
     }
     for (CallState call : calls.values()) {
       boolean overdue = !call.finished && !call.established && fixture.now > call.deadline + 200;
-      assertTrue(!overdue, "call lost");
+      assertTrue(!overdue, "call without a final answer");
     }
   }
 
-  private void checkSend(RecordingActions.RecordedAction action, CallState call) {
+  private void checkSend(RecordedAction action, CallState call) {
     Settings settings = fixture.settings;
-    assertTrue(!call.finished, "sent after the end");
-    assertEquals(-1, call.outstandingAttempt, "two attempts out");
-    assertTrue(fixture.now >= call.guardUntil, "release not awaited");
+    assertTrue(!call.finished, "sent after the end of the call");
+    assertEquals(-1, call.outstandingAttempt, "two attempts outstanding");
+    assertTrue(fixture.now >= call.guardUntil, "sent within the guard time");
     assertEquals(
-        ExchangeState.IN_SERVICE, directory.get(action.exchange()), "sent to one that drains");
+        ExchangeState.IN_SERVICE,
+        directory.get(action.exchange()),
+        "sent to an exchange that is not in service");
     assertTrue(++call.attempts <= settings.maxAttempts());
     call.outstandingAttempt = call.attempts - 1;
     call.exchange = action.exchange();
@@ -247,7 +281,7 @@
 
   private void checkColdBudget(String exchange) {
     Settings settings = fixture.settings;
-    List<Double> exchangeSendTimes = sendTimes.computeIfAbsent(exchange, e -> new ArrayList<>());
+    List<Double> exchangeSendTimes = sendTimes.computeIfAbsent(exchange, key -> new ArrayList<>());
     exchangeSendTimes.add(fixture.now);
     double startedAt = startTimes.get(exchange);
     if (startedAt > 0 && fixture.now < startedAt + settings.rampTime()) {
@@ -255,6 +289,8 @@
           exchangeSendTimes.stream()
               .filter(sentAt -> sentAt >= startedAt && sentAt > fixture.now - settings.coldWindow())
               .count();
+      // Two set-ups for each local call. The policy counts calls over at least 2000 ms, so that its
+      // estimate cannot exceed all of them within that time.
       double warmSetupsPerMilli = 2.0 * localCalls / 2000;
       double budgetShare =
           settings.coldMultiple()
@@ -266,41 +302,41 @@
     }
   }
 
-  /** Ninety controllers with a call every tenth of a second toward one that has just started. */
+  /**
+   * Guards against overload of an exchange that has just started by the sum of 90 controllers, each
+   * with a call to it every 100 ms.
+   */
   @Test
   void allControllersTogetherStayWithinTheColdBudget() {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
     Settings settings =
         new Settings(
             base.layout(),
-            0,
-            90,
+            /* localExchange= */ 0,
+            /* controllerCount= */ 90,
             base.classes(),
-            5,
-            4,
-            true,
-            false,
-            false,
-            0,
-            false,
-            300,
-            800,
-            0.3,
-            10000,
-            3,
-            3000);
+            /* clockResolution= */ 5,
+            /* maxAttempts= */ 4,
+            /* mayCancel= */ true,
+            /* mayProbe= */ false,
+            /* mayBroadcast= */ false,
+            /* maxRetryAfter= */ 0,
+            /* directoryOnRequest= */ false,
+            /* guardTime= */ 300,
+            /* retransmitAfter= */ 800,
+            /* coldShare= */ 0.3,
+            /* rampTime= */ 10000,
+            /* coldMultiple= */ 3,
+            /* coldWindow= */ 3000);
     List<Double> allSendTimes = new ArrayList<>();
     for (int seed = 1; seed <= 90; seed++) {
       PolicyFixture controller = new PolicyFixture(settings, seed);
       controller.now = 20000;
       controller.updateDirectory(
-          true,
-          PolicyFixture.inServiceExchange(1, 0),
-          PolicyFixture.inServiceExchange(2, 19900),
-          PolicyFixture.inServiceExchange(3, 0));
+          true, inServiceExchange(1, 0), inServiceExchange(2, 19900), inServiceExchange(3, 0));
       for (int step = 0; step < 90; step++) {
         int sentBefore = controller.actions.ofType("send").size();
-        controller.offerCall("c" + step, PolicyFixture.LOW_WORTH, 2);
+        controller.offerCall("c" + step, LOW_WORTH, 2);
         controller.advanceClock(100);
         for (var send :
             controller
@@ -312,7 +348,7 @@
         }
       }
     }
-    // What 90 controllers with ten own calls a second make of the cold share of one processor.
+    // The budget as 90 controllers with ten local calls a second each estimate it together.
     double budget =
         settings.coldMultiple() * settings.coldShare() * 2 * 10 * settings.coldWindow() / 1000;
     for (double end = 20000; end < 29000; end += 500) {
--- a/policy/src/test/java/coveladder/ThresholdsTest.java
+++ b/policy/src/test/java/coveladder/ThresholdsTest.java
@@ -7,17 +7,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Checks the computation of Koole's nested thresholds against independent calculations. */
 class ThresholdsTest {
 
-  /** The recursion written out with one explicit choice for each class, by memo-free recursion. */
+  /**
+   * Returns the expected cost of a number of steps from a number of busy circuits, by plain
+   * recursion with an explicit choice between blocking and admission for each class.
+   */
   private static double expectedCost(
       int steps, int busy, int size, double[] rates, double serviceRate, double[] costs) {
     if (steps == 0) {
       return 0;
     }
     double discount = 0.99;
-    double unchanged = expectedCost(steps - 1, busy, size, rates, serviceRate, costs);
-    double sum = (size - busy) * serviceRate * discount * unchanged;
+    double costIfUnchanged = expectedCost(steps - 1, busy, size, rates, serviceRate, costs);
+    double sum = (size - busy) * serviceRate * discount * costIfUnchanged;
     if (busy > 0) {
       sum +=
           busy
@@ -26,7 +30,7 @@
               * expectedCost(steps - 1, busy - 1, size, rates, serviceRate, costs);
     }
     for (int classIndex = 0; classIndex < rates.length; classIndex++) {
-      double blockingCost = costs[classIndex] + discount * unchanged;
+      double blockingCost = costs[classIndex] + discount * costIfUnchanged;
       sum +=
           rates[classIndex]
               * (busy == size
@@ -39,7 +43,10 @@
     return sum;
   }
 
-  /** Average cost of fixed thresholds, from the stationary distribution of the busy count. */
+  /**
+   * Returns the average cost if class 0 is admitted below a fixed threshold of busy circuits and
+   * class 1 always, from the stationary distribution of the number of busy circuits.
+   */
   private static double averageCost(
       int size, int threshold, double[] rates, double serviceRate, double[] costs) {
     double[] weights = new double[size + 1];
