--- a/policy/src/test/java/coveladder/ColdFleetTest.java
+++ b/policy/src/test/java/coveladder/ColdFleetTest.java
@@ -19,7 +19,7 @@
  * within the budget of each window, but for chance, although each knows only its own calls.
  */
 class ColdFleetTest {
-  /** Seeds of each variant: with all controllers kept running, and with some restarted. */
+  /** Number of seeds for each variant: no controller restarts, or some of them do. */
   private static final int SEEDS = 5;
 
   private static final double WARM_UP_MILLIS = 10_500;
@@ -49,9 +49,7 @@
           inServiceExchange(3, 0));
     }
 
-    /**
-     * Offers random calls, on average half of them to the cold processor, and ends them at once.
-     */
+    /** Offers the calls of one step, half of them to exchange 2 on average, and ends them. */
     void step() {
       int recordedBefore = fixture.actions.recorded.size();
       double expectedCalls = callsPerSecond * STEP_MILLIS / 1000;
@@ -159,7 +157,7 @@
     meanCallsPerSecond = callsPerSecond;
     double budget =
         coldMultiple * coldShare * 2 * callsPerSecond / WARM_UTILIZATION * coldWindow / 1000;
-    // Chance may add two standard deviations of a Poisson count and two set-ups.
+    // Margin for chance: two standard deviations of a Poisson count, and two set-ups.
     double maxPerWindow = budget + 2 * Math.sqrt(budget) + 2;
     int totalSent = 0;
     for (int seed = 0; seed < 2 * SEEDS; seed++) {
--- a/policy/src/test/java/coveladder/PolicyFixture.java
+++ b/policy/src/test/java/coveladder/PolicyFixture.java
@@ -100,6 +100,7 @@
         new CallClass(8, 0.25, 1000, 6000, 1, 6000, List.of()));
   }
 
+  /** Returns the directory entry of exchange {@code "x" + number}. */
   static Exchange inServiceExchange(int number, double startedAt) {
     return new Exchange("x" + number, number, ExchangeState.IN_SERVICE, startedAt);
   }
@@ -137,6 +138,7 @@
     endAttempt(id, attempt, exchange, outcome, reason, 800);
   }
 
+  /** Ends an attempt, and with outcome {@link Outcome#DONE} the call too. */
   void endAttempt(
       String id, int attempt, int exchange, Outcome outcome, Reason reason, double elapsed) {
     boolean callFinished = outcome == Outcome.DONE;
@@ -156,7 +158,7 @@
     now = end;
   }
 
-  /** Removes and returns the timer that expires first, at {@code end} at the latest; or null. */
+  /** Removes and returns the next timer that expires by {@code end}; null if there is none. */
   private double[] removeNextTimer(double end) {
     for (; examinedActions < actions.recorded.size(); examinedActions++) {
       var action = actions.recorded.get(examinedActions);
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Returns the settings of the fixture with another longest retry delay of callers, ms. */
+  /** Returns the settings of the mesh, but with the given longest retry delay of callers, ms. */
   private static Settings withMaxRetryAfter(double maxRetryAfter) {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
     return new Settings(
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Returns the highest number of busy circuits at which a redial of the class is admitted, its own
-   * circuits included. The group has 20 circuits.
+   * Returns the highest number of busy circuits, those of the redial included, at which a redial of
+   * the class is admitted to the group of 20 circuits.
    */
   private static int maxOccupancyAdmittingRedials(PolicyFixture fixture, int type, int width) {
     int free = 0;
@@ -196,6 +196,7 @@
     return 20 - free + width;
   }
 
+  /** Guards against admitting a redial that seizes several circuits as if it were one circuit. */
   @Test
   void wideRedialsAreAdmittedUpToNoHigherOccupancyThanNarrowOnes() {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
@@ -450,8 +451,7 @@
       fixture.establish("c" + i, 0, 40);
       sentToCold += fixture.actions.exchangesTried("c" + i).contains("x2") ? 1 : 0;
     }
-    // 3 (multiple) * 0.3 (cold share) * 2 set-ups for each of 20 calls/s * 3 s / 4 controllers =
-    // 27.
+    // 27 = 3 (multiple) * 0.3 (cold share) * 2 set-ups per call * 20 calls/s * 3 s / 4 controllers.
     assertTrue(sentToCold == 26 || sentToCold == 27, "sent " + sentToCold);
   }
 
@@ -538,8 +538,8 @@
   }
 
   /**
-   * Guards against trial calls that overload an exchange in their sum, because many controllers
-   * send one each, although no controller would overload it alone.
+   * Guards against trial calls of many controllers that together overload an exchange, although
+   * those of one controller alone would not.
    */
   @Test
   void trialCallsOfManyControllersAreSpreadInTime() {
@@ -596,8 +596,8 @@
   }
 
   /**
-   * Calls that lay unread during a stall are served after those that can still reach their aim;
-   * these are served first, most valuable first.
+   * Guards against serving calls whose aim passed while they lay unread in a stall before calls
+   * that can still reach theirs. Among the latter the most valuable go first.
    */
   @Test
   void callsWhoseAimPassedDuringAStallAreServedLast() {
--- a/policy/src/test/java/coveladder/RecordingActions.java
+++ b/policy/src/test/java/coveladder/RecordingActions.java
@@ -78,6 +78,6 @@
 
   @Override
   public void subscribeToDirectory() {
-    recorded.add(new RecordedAction("subscribe", "", "", 0));
+    recorded.add(new RecordedAction("subscribeToDirectory", "", "", 0));
   }
 }
--- a/policy/src/test/java/coveladder/RepeatTest.java
+++ b/policy/src/test/java/coveladder/RepeatTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Checks whether a call is repeated after a failed attempt, as the settings of its class allow. */
+/** Checks what follows a failed attempt, depending on the repeat settings of the call class. */
 class RepeatTest {
   private PolicyFixture fixture;
 
--- a/policy/src/test/java/coveladder/RulesTest.java
+++ b/policy/src/test/java/coveladder/RulesTest.java
@@ -289,8 +289,8 @@
           exchangeSendTimes.stream()
               .filter(sentAt -> sentAt >= startedAt && sentAt > fixture.now - settings.coldWindow())
               .count();
-      // Two set-ups for each local call. The policy counts calls over at least 2000 ms, so that its
-      // estimate cannot exceed all of them within that time.
+      // Upper bound of the policy's estimate: two set-ups for each local call so far, all of them
+      // within 2000 ms, the shortest time over which the policy counts calls.
       double warmSetupsPerMilli = 2.0 * localCalls / 2000;
       double budgetShare =
           settings.coldMultiple()
@@ -303,8 +303,8 @@
   }
 
   /**
-   * Guards against overload of an exchange that has just started by the sum of 90 controllers, each
-   * with a call to it every 100 ms.
+   * Guards against overload of an exchange that has just started: 90 controllers, each with a call
+   * to it every 100 ms, must together stay within its budget.
    */
   @Test
   void allControllersTogetherStayWithinTheColdBudget() {
@@ -348,7 +348,7 @@
         }
       }
     }
-    // The budget as 90 controllers with ten local calls a second each estimate it together.
+    // Each controller estimates this budget from its ten local calls a second and may use a 90th.
     double budget =
         settings.coldMultiple() * settings.coldShare() * 2 * 10 * settings.coldWindow() / 1000;
     for (double end = 20000; end < 29000; end += 500) {
--- a/policy/src/test/java/coveladder/ThresholdsTest.java
+++ b/policy/src/test/java/coveladder/ThresholdsTest.java
@@ -11,8 +11,9 @@
 class ThresholdsTest {
 
   /**
-   * Returns the expected cost of a number of steps from a number of busy circuits, by plain
-   * recursion with an explicit choice between blocking and admission for each class.
+   * Returns the expected cost of the next {@code steps} steps while {@code busy} of {@code size}
+   * circuits are busy, by plain recursion with an explicit choice for each class between blocking
+   * and admission.
    */
   private static double expectedCost(
       int steps, int busy, int size, double[] rates, double serviceRate, double[] costs) {
@@ -44,8 +45,9 @@
   }
 
   /**
-   * Returns the average cost if class 0 is admitted below a fixed threshold of busy circuits and
-   * class 1 always, from the stationary distribution of the number of busy circuits.
+   * Returns the average cost of blocked calls per ms if class 0 is admitted only below the
+   * threshold of busy circuits and class 1 whenever a circuit is free, from the stationary
+   * distribution of the number of busy circuits.
    */
   private static double averageCost(
       int size, int threshold, double[] rates, double serviceRate, double[] costs) {
