--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -116,9 +116,9 @@
     return opened;
   }
 
-  private SipFront.Keeping keeping(Settings from) throws IOException {
+  private SipFront.Persistence keeping(Settings from) throws IOException {
     PersistentMonotonicClock clock = PersistentMonotonicClock.open(from.state().folder());
-    return new SipFront.Keeping(store, from.state().budget(), clock);
+    return new SipFront.Persistence(store, from.state().budget(), clock);
   }
 
   private void storeGauges() {
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -105,16 +105,16 @@
           new AttemptGuard(300, 250),
           CallController.Observer.NONE,
           actions -> new NestedThresholdPolicy(rules(), 1, actions),
-          new SipFront.Keeping(store, budget, System::currentTimeMillis));
+          new SipFront.Persistence(store, budget, System::currentTimeMillis));
     }
 
     static SocketNode node(Sockets sockets, EventLoop loop) throws Exception {
       return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", 0, 1);
     }
 
-    private SipFront.Keeping keeping() {
+    private SipFront.Persistence keeping() {
       RecoveryRate.Budget budget = new RecoveryRate.Budget(200, 2_000);
-      return new SipFront.Keeping(store, budget, System::currentTimeMillis);
+      return new SipFront.Persistence(store, budget, System::currentTimeMillis);
     }
 
     static FrontSettings settings(Hop own) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
@@ -55,12 +55,12 @@
   }
 
   /** Where a controller keeps its calls, put into the machine that it is to run on. */
-  SipFront.Keeping keeping(String name, SipHost host) {
+  SipFront.Persistence keeping(String name, SipHost host) {
     SimDisk disk =
         disks.computeIfAbsent(
             name, n -> new SimDisk(random.split(), LEAST_SYNC, MOST_SYNC, () -> passed(n)));
     disk.into(host);
-    return new SipFront.Keeping(between.apply(disk), budget, () -> (long) world.now());
+    return new SipFront.Persistence(between.apply(disk), budget, () -> (long) world.now());
   }
 
   // ---- Kills --------------------------------------------------------------------------------
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
@@ -69,7 +69,7 @@
         CallController.Observer.NONE,
         Tampering.NONE.maker(plan.rules(0), 3),
         keeps
-            ? new SipFront.Keeping(disk, new RecoveryRate.Budget(1_000, 100), () -> clock())
+            ? new SipFront.Persistence(disk, new RecoveryRate.Budget(1_000, 100), () -> clock())
             : null);
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -43,7 +43,7 @@
     bed.run(1_000);
     assertEquals(List.of("404"), bed.finals());
     assertEquals(1, bed.attempts().size());
-    assertEquals(0, bed.front.bridges());
+    assertEquals(0, bed.front.callCount());
   }
 
   @Test
@@ -327,7 +327,7 @@
     }
     bed.run(10);
     assertEquals("1", bed.caller.last("SIP/2.0 503").field("Retry-After"));
-    assertEquals(50, bed.front.bridges());
+    assertEquals(50, bed.front.callCount());
   }
 
   @Test
--- a/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
@@ -11,10 +11,10 @@
  * @param names name of each class, in the order of their numbers
  * @param priorities resource value of each class, such as {@code cove.2}; empty: none
  * @param prefixes prefixes of numbers with the number of their class
- * @param fallback number of the default class
+ * @param defaultClass number of the default class
  */
 public record ClassTable(
-    List<String> names, List<String> priorities, List<Prefix> prefixes, int fallback) {
+    List<String> names, List<String> priorities, List<Prefix> prefixes, int defaultClass) {
 
   /**
    * One prefix.
@@ -29,8 +29,8 @@
     names = List.copyOf(names);
     priorities = List.copyOf(priorities);
     prefixes = List.copyOf(prefixes);
-    if (fallback < 0 || fallback >= names.size()) {
-      throw new IllegalArgumentException("default class " + fallback + " of " + names.size());
+    if (defaultClass < 0 || defaultClass >= names.size()) {
+      throw new IllegalArgumentException("default class " + defaultClass + " of " + names.size());
     }
   }
 
@@ -42,7 +42,7 @@
         return type;
       }
     }
-    int found = fallback;
+    int found = defaultClass;
     int length = -1;
     for (Prefix prefix : prefixes) {
       if (number.startsWith(prefix.digits()) && prefix.digits().length() > length) {
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -16,7 +16,7 @@
   static SipResponse of(
       CallLeg caller, FinalAnswer answer, boolean transit, FrontSettings settings) {
     if (answer.kind() == FinalAnswer.Kind.SHUT_DOWN) {
-      return unavailable(caller, ReasonField.CONGESTION, transit, settings.retryAfter());
+      return unavailable(caller, ReasonField.CONGESTION, transit, settings.retryAfterSeconds());
     }
     if (answer.reason() == Reason.NUMBER_BUSY) {
       return caller.response(486);
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -64,7 +64,7 @@
   private WriteAheadSignalling writeAhead;
   private Recovery recovery;
   private long sequence;
-  private String badFeed = "";
+  private String lastFeedError = "";
   private Bridge taking;
 
   /**
@@ -95,7 +95,7 @@
       AttemptGuard guard,
       CallController.Observer journal,
       Function<CallPolicy.Actions, CallPolicy> policies,
-      Keeping keeping) {
+      Persistence keeping) {
     this.host = host;
     this.settings = settings;
     this.clock = new HostClock(host);
@@ -104,10 +104,11 @@
     if (keeping == null) {
       this.controller = new CallController(rules, this, guard, journal, policies);
     } else {
-      this.legs = new SavedLegs(this, keeping.clock());
+      this.legs = new SavedLegs(this, keeping.wallClock());
       double life = settings.timing().transactionTimeout();
       this.writeAhead = new WriteAheadSignalling(this, legs, keeping.store(), life);
-      RecoveryRate pace = new RecoveryRate(keeping.budget(), rules.coldShare(), rules.rampTime());
+      RecoveryRate pace =
+          new RecoveryRate(keeping.recoveryBudget(), rules.coldShare(), rules.rampTime());
       CallController.Observer both = new KeepingJournal(journal, writeAhead, pace, clock);
       this.controller = new CallController(rules, writeAhead, guard, both, policies);
       writeAhead.setController(controller);
@@ -115,7 +116,7 @@
           new Recovery(controller, writeAhead, keeping.store(), legs, clock, pace, life);
     }
     this.list = subscriber(LIST_EVENT, settings.listServer(), new ListWatcher());
-    this.circuits = subscriber(CIRCUIT_EVENT, settings.ownSwitch(), new CircuitWatcher());
+    this.circuits = subscriber(CIRCUIT_EVENT, settings.localSwitch(), new CircuitWatcher());
     stack.userAgent().transactionLayer().offerOverloadControl();
   }
 
@@ -123,10 +124,11 @@
    * Where calls are kept.
    *
    * @param store the store
-   * @param budget what recovery may send
-   * @param clock ms by a clock that goes on across restarts
+   * @param recoveryBudget what recovery may send
+   * @param wallClock ms by a clock that goes on across restarts
    */
-  public record Keeping(CallStore store, RecoveryRate.Budget budget, LongSupplier clock) {}
+  public record Persistence(
+      CallStore store, RecoveryRate.Budget recoveryBudget, LongSupplier wallClock) {}
 
   /** What sees that calls are kept; null where they are not. */
   public WriteAheadSignalling writeAhead() {
@@ -208,12 +210,12 @@
   }
 
   /** What was wrong with the last NOTIFY that could not be used; empty if none was. */
-  public String badFeed() {
-    return badFeed;
+  public String lastFeedError() {
+    return lastFeedError;
   }
 
   /** Calls with any leg left. */
-  public int bridges() {
+  public int callCount() {
     return bridges.size() + (legs == null ? 0 : legs.asleep());
   }
 
@@ -225,13 +227,13 @@
     settings =
         new FrontSettings(
             settings.domain(),
-            settings.ownSwitch(),
+            settings.localSwitch(),
             settings.listServer(),
             news.classes(),
-            news.patience(),
-            news.answerMargin(),
+            news.patienceMillis(),
+            news.answerMarginMillis(),
             news.maxCalls(),
-            news.retryAfter(),
+            news.retryAfterSeconds(),
             settings.timing(),
             settings.limits());
   }
@@ -263,7 +265,7 @@
   }
 
   Hop ownSwitch() {
-    return settings.ownSwitch();
+    return settings.localSwitch();
   }
 
   // ---- Calls that come in -------------------------------------------------------------------
@@ -272,9 +274,9 @@
   public CallListener incoming(CallLeg leg) {
     SipUri uri = SipUri.parse(leg.invite().uri());
     int destination = controller.directory().numberOfDomain(uri.host());
-    boolean full = bridges() >= settings.maxCalls();
+    boolean full = callCount() >= settings.maxCalls();
     if (full || controller.directory().version() < 0 || mayBeOld(leg)) {
-      int wait = settings.retryAfter();
+      int wait = settings.retryAfterSeconds();
       leg.reject(FinalResponses.unavailable(leg, ReasonField.CONGESTION, false, wait));
       return null;
     }
@@ -333,14 +335,14 @@
   /** What is left of the caller's time: it waited here unread, and the answer has a way to go. */
   private double patience(CallLeg leg) {
     String written = leg.invite().header("Expires");
-    double whole = written == null ? settings.patience() : 1000.0 * Long.parseLong(written);
-    return Math.max(0, whole - leg.millisSinceInvite(host.now()) - settings.answerMargin());
+    double whole = written == null ? settings.patienceMillis() : 1000.0 * Long.parseLong(written);
+    return Math.max(0, whole - leg.millisSinceInvite(host.now()) - settings.answerMarginMillis());
   }
 
   /** A call that the own switch hands over came from another exchange: it is in transit. */
   private boolean isFromOwnSwitch(CallLeg leg) {
     Via via = leg.invite().via();
-    Hop own = settings.ownSwitch();
+    Hop own = settings.localSwitch();
     return via.host().equals(own.host()) && via.portOrDefault() == own.port();
   }
 
@@ -382,7 +384,7 @@
             : order.destination().domain();
     String uri = "sip:" + order.number() + '@' + domain;
     SipRequest invite = new SipRequest("INVITE", uri);
-    Hop own = settings.ownSwitch();
+    Hop own = settings.localSwitch();
     invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
     invite.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
     if (order.viaTandem()) {
@@ -479,7 +481,7 @@
     for (ExchangeDirectory.Entry entry : controller.directory().entries()) {
       if (entry.number() != controller.settings().localExchange()) {
         SipRequest message = request("MESSAGE", "sip:controller@" + entry.domain());
-        Hop own = settings.ownSwitch();
+        Hop own = settings.localSwitch();
         message.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
         message.set(
             "From",
@@ -549,7 +551,7 @@
           list.subscribe();
         }
       } catch (FeedBodies.BadBody e) {
-        badFeed = LIST_EVENT + ": " + e.getMessage();
+        lastFeedError = LIST_EVENT + ": " + e.getMessage();
       }
     }
 
@@ -573,7 +575,7 @@
           controller.circuitsReported(group.toward(), group.free(), group.size(), news.version());
         }
       } catch (FeedBodies.BadBody e) {
-        badFeed = CIRCUIT_EVENT + ": " + e.getMessage();
+        lastFeedError = CIRCUIT_EVENT + ": " + e.getMessage();
       }
     }
 
