--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -22,58 +22,58 @@
  * is out or stands, and what passes between them.
  */
 final class Bridge {
-  private static final int RELIABLE_MOST = 64;
+  private static final int MAX_RELIABLE_RESPONSES = 64;
 
   private final SipFront front;
   private final String id;
   private final boolean transit;
-  private CallLeg caller;
-  private final List<Reliable> reliable = new ArrayList<>(0);
+  private CallLeg callerLeg;
+  private final List<RelayedProvisional> reliableResponses = new ArrayList<>(0);
   private CallLeg attemptLeg;
-  private int attempt = -1;
-  private SipResponse answer;
-  private boolean ackOwed;
-  private boolean launched;
-  private SipResponse prepared;
+  private int currentAttempt = -1;
+  private SipResponse calleeAnswer;
+  private boolean awaitsCallerAck;
+  private boolean inviteSent;
+  private SipResponse preparedAnswer;
   private SipHost.Timer sessionTimer;
-  private double sessionLasts;
+  private double sessionIntervalMillis;
 
-  Bridge(SipFront front, String id, boolean transit, CallLeg caller) {
+  Bridge(SipFront front, String id, boolean transit, CallLeg callerLeg) {
     this.front = front;
     this.id = id;
     this.transit = transit;
-    this.caller = caller;
+    this.callerLeg = callerLeg;
   }
 
   /** A reliable provisional answer as it was told to the caller (RFC 3262). */
-  private record Reliable(int attempt, long number, long cseq) {}
+  private record RelayedProvisional(int attempt, long rseq, long cseq) {}
 
-  CallListener callerSide() {
-    return new CallerSide();
+  CallListener callerListener() {
+    return new CallerListener();
   }
 
-  CallLeg caller() {
-    return caller;
+  CallLeg callerLeg() {
+    return callerLeg;
   }
 
   // ---- Attempts -----------------------------------------------------------------------------
 
   /** Makes an attempt ready without sending it. */
-  void prepare(AttemptRequest order, SipRequest invite) {
-    attempt = order.attempt();
-    answer = null;
-    launched = false;
-    AttemptSide side = new AttemptSide(order.attempt());
-    attemptLeg = front.agent().prepare(invite, front.ownSwitch(), side);
+  void prepare(AttemptRequest request, SipRequest invite) {
+    currentAttempt = request.attempt();
+    calleeAnswer = null;
+    inviteSent = false;
+    AttemptListener listener = new AttemptListener(request.attempt());
+    attemptLeg = front.userAgent().prepare(invite, front.localSwitch(), listener);
   }
 
   /** Whether this attempt was made ready and has not left. */
-  boolean ready(int number) {
-    return attempt == number && attemptLeg != null && !launched;
+  boolean isPrepared(int attempt) {
+    return currentAttempt == attempt && attemptLeg != null && !inviteSent;
   }
 
-  void launch() {
-    launched = true;
+  void sendInvite() {
+    inviteSent = true;
     attemptLeg.sendInvite();
   }
 
@@ -81,140 +81,141 @@
    * Takes legs that stood before a restart. A session that had a time gets all of it again: how
    * much had passed is not kept, so one whose ends are gone is released that much later at most.
    */
-  void resume(CallLeg callerAgain, CallLeg attemptAgain, int number, long session) {
-    caller = callerAgain;
-    attemptLeg = attemptAgain;
-    attempt = number;
-    launched = true;
-    sessionLasts = session * 1000.0;
-    watchSession();
+  void resume(CallLeg restoredCaller, CallLeg restoredAttempt, int attempt, long intervalSeconds) {
+    callerLeg = restoredCaller;
+    attemptLeg = restoredAttempt;
+    currentAttempt = attempt;
+    inviteSent = true;
+    sessionIntervalMillis = intervalSeconds * 1000.0;
+    restartSessionTimer();
   }
 
   /** Time that the session lasts without a refresh, s; 0: for ever. */
-  long session() {
-    return Math.round(sessionLasts / 1000);
+  long sessionIntervalSeconds() {
+    return Math.round(sessionIntervalMillis / 1000);
   }
 
   CallLeg attemptLeg() {
     return attemptLeg;
   }
 
-  CallListener attemptSide(int number) {
-    return new AttemptSide(number);
+  CallListener attemptListener(int attempt) {
+    return new AttemptListener(attempt);
   }
 
-  void cancel(int number) {
-    if (number == attempt && attemptLeg != null) {
+  void cancel(int attempt) {
+    if (attempt == currentAttempt && attemptLeg != null) {
       attemptLeg.cancel("SIP;cause=487");
     }
   }
 
-  void release(int number) {
-    if (number == attempt && attemptLeg != null) {
-      attemptLeg.bye(ReasonField.write(ReasonField.NORMAL, false));
+  void release(int attempt) {
+    if (attempt == currentAttempt && attemptLeg != null) {
+      attemptLeg.bye(ReasonField.format(ReasonField.NORMAL_CLEARING, false));
     }
   }
 
   /** Hears of one attempt. */
-  private final class AttemptSide implements CallListener {
-    private final int number;
+  private final class AttemptListener implements CallListener {
+    private final int attempt;
 
-    AttemptSide(int number) {
-      this.number = number;
+    AttemptListener(int attempt) {
+      this.attempt = attempt;
     }
 
     @Override
     public void responseReceived(CallLeg leg, SipResponse response) {
-      front.learnLoad(response);
+      front.reportLocalLoad(response);
     }
 
     @Override
     public void progress(CallLeg leg, SipResponse response) {
       if (leg == attemptLeg) {
-        relayProgress(number, response);
+        relayProgress(attempt, response);
       }
     }
 
     @Override
     public void answered(CallLeg leg, SipResponse response) {
-      answer = response;
-      ackOwed = leg.invite().body().length == 0 && response.body().length > 0;
-      front.controller().attemptAnswered(id, number);
+      calleeAnswer = response;
+      awaitsCallerAck = leg.invite().body().length == 0 && response.body().length > 0;
+      front.controller().attemptAnswered(id, attempt);
       if (leg.state() == CallLeg.State.ENDED) {
-        over(new WireOutcome(Outcome.CANCELLED, Reason.NONE, 0));
+        reportEnd(new AttemptOutcome(Outcome.CANCELLED, Reason.NONE, 0));
       }
     }
 
     @Override
     public void rejected(CallLeg leg, SipResponse response) {
-      if (WireOutcome.conclusive(response)) {
-        answer = response;
-        front.controller().calleeRejected(id, number);
-        front.tidy(id);
+      if (AttemptOutcome.isConclusive(response)) {
+        calleeAnswer = response;
+        front.controller().calleeRejected(id, attempt);
+        front.removeIfEnded(id);
       } else {
-        over(WireOutcome.of(response));
+        reportEnd(AttemptOutcome.of(response));
       }
     }
 
     @Override
     public void failed(CallLeg leg, Failure failure) {
-      over(WireOutcome.of(failure));
+      reportEnd(AttemptOutcome.of(failure));
     }
 
     @Override
     public void answeredLate(CallLeg leg, SipResponse response) {
-      over(new WireOutcome(Outcome.CANCELLED, Reason.NONE, 0));
+      reportEnd(new AttemptOutcome(Outcome.CANCELLED, Reason.NONE, 0));
     }
 
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
-      relay(leg, caller, transaction, request, null);
+      relay(leg, callerLeg, transaction, request, null);
     }
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      caller.acknowledgeReinvite(ack);
+      callerLeg.acknowledgeReinvite(ack);
     }
 
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
-      over(WireOutcome.ofBye(bye));
+      reportEnd(AttemptOutcome.ofBye(bye));
     }
 
     @Override
     public void released(CallLeg leg) {
-      front.released(id, Bridge.this);
+      front.releaseCompleted(id, Bridge.this);
     }
 
-    private void over(WireOutcome outcome) {
+    private void reportEnd(AttemptOutcome outcome) {
       front
           .controller()
-          .attemptEnded(id, number, outcome.outcome(), outcome.reason(), outcome.askedWait());
-      front.tidy(id);
+          .attemptEnded(
+              id, attempt, outcome.outcome(), outcome.reason(), outcome.retryAfterMillis());
+      front.removeIfEnded(id);
     }
   }
 
   // ---- The caller ---------------------------------------------------------------------------
 
   /** Hears of the caller. */
-  private final class CallerSide implements CallListener {
+  private final class CallerListener implements CallListener {
     @Override
-    public void cancelRequested(CallLeg leg, Runnable answer) {
-      front.callerLeaves(
+    public void cancelRequested(CallLeg leg, Runnable sendResponse) {
+      front.callerCancelled(
           id,
           () -> {
-            answer.run();
-            front.tidy(id);
+            sendResponse.run();
+            front.removeIfEnded(id);
           });
       front.controller().callerAbandoned(id);
-      front.tidy(id);
+      front.removeIfEnded(id);
     }
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      front.changed(id);
-      if (ackOwed) {
-        ackOwed = false;
+      front.callChanged(id);
+      if (awaitsCallerAck) {
+        awaitsCallerAck = false;
         attemptLeg.ack(ack);
       } else if (attemptLeg != null) {
         attemptLeg.acknowledgeReinvite(ack);
@@ -224,7 +225,7 @@
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
       if (request.is("PRACK")) {
-        prack(transaction, request);
+        relayPrack(transaction, request);
       } else {
         relay(leg, attemptLeg, transaction, request, null);
       }
@@ -233,41 +234,42 @@
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
       front.controller().callerReleased(id);
-      front.tidy(id);
+      front.removeIfEnded(id);
     }
 
     @Override
     public void released(CallLeg leg) {
-      front.released(id, Bridge.this);
+      front.releaseCompleted(id, Bridge.this);
     }
   }
 
   /** Makes the caller's final answer ready without sending it. */
-  SipResponse prepare(FinalAnswer given) {
-    if (prepared == null) {
-      switch (given.kind()) {
+  SipResponse prepare(FinalAnswer finalAnswer) {
+    if (preparedAnswer == null) {
+      switch (finalAnswer.kind()) {
         case STANDS, PASSED -> {
-          prepared = caller.response(answer.status());
-          EndToEndHeaders.copy(answer, prepared);
+          preparedAnswer = callerLeg.response(calleeAnswer.status());
+          EndToEndHeaders.copy(calleeAnswer, preparedAnswer);
         }
-        default -> prepared = FinalResponses.of(caller, given, transit, front.settings());
+        default ->
+            preparedAnswer = FinalResponses.of(callerLeg, finalAnswer, transit, front.settings());
       }
     }
-    return prepared;
+    return preparedAnswer;
   }
 
   /** The final answer that was made ready; null before. */
-  SipResponse prepared() {
-    return prepared;
+  SipResponse preparedAnswer() {
+    return preparedAnswer;
   }
 
   /** The callee's answer that the call stands by. */
-  SipResponse received() {
-    return answer;
+  SipResponse calleeAnswer() {
+    return calleeAnswer;
   }
 
-  int attempt() {
-    return attempt;
+  int currentAttempt() {
+    return currentAttempt;
   }
 
   /**
@@ -275,119 +277,125 @@
    * is kept: one that was not would be called off after a crash, and a callee that had its ACK
    * would not hear of that.
    */
-  void answer(FinalAnswer given) {
-    SipResponse response = prepare(given);
-    prepared = null;
-    if (given.kind() == FinalAnswer.Kind.STANDS) {
-      if (!ackOwed) {
+  void answer(FinalAnswer finalAnswer) {
+    SipResponse response = prepare(finalAnswer);
+    preparedAnswer = null;
+    if (finalAnswer.kind() == FinalAnswer.Kind.STANDS) {
+      if (!awaitsCallerAck) {
         attemptLeg.ack(null);
       }
-      caller.accept(response);
-      watchSession(answer);
-      answer = null;
+      callerLeg.accept(response);
+      restartSessionTimer(calleeAnswer);
+      calleeAnswer = null;
     } else {
-      caller.reject(response);
+      callerLeg.reject(response);
     }
   }
 
-  void releaseCaller(boolean cut) {
-    int cause = cut ? ReasonField.TEMPORARY_FAILURE : ReasonField.NORMAL;
-    caller.bye(ReasonField.write(cause, false));
+  void releaseCaller(boolean disconnected) {
+    int cause = disconnected ? ReasonField.TEMPORARY_FAILURE : ReasonField.NORMAL_CLEARING;
+    callerLeg.bye(ReasonField.format(cause, false));
   }
 
   /** Whether a BYE of either leg is out and not answered. */
-  boolean releasing() {
-    return attemptLeg != null && attemptLeg.isReleasing() || caller.isReleasing();
+  boolean isReleasing() {
+    return attemptLeg != null && attemptLeg.isReleasing() || callerLeg.isReleasing();
   }
 
   /** Whether nothing is left to do for the call. */
-  boolean over() {
-    boolean attemptOver =
-        attemptLeg == null || !launched || attemptLeg.state() == CallLeg.State.ENDED;
-    boolean over = attemptOver && caller.state() == CallLeg.State.ENDED;
-    if (over && sessionTimer != null) {
+  boolean hasEnded() {
+    boolean attemptEnded =
+        attemptLeg == null || !inviteSent || attemptLeg.state() == CallLeg.State.ENDED;
+    boolean ended = attemptEnded && callerLeg.state() == CallLeg.State.ENDED;
+    if (ended && sessionTimer != null) {
       sessionTimer.cancel();
     }
-    return over;
+    return ended;
   }
 
   // ---- Between the legs ---------------------------------------------------------------------
 
-  private void relayProgress(int number, SipResponse response) {
-    SipResponse told = caller.response(response.status());
-    EndToEndHeaders.copy(response, told);
+  private void relayProgress(int attempt, SipResponse response) {
+    SipResponse relayed = callerLeg.response(response.status());
+    EndToEndHeaders.copy(response, relayed);
     if (response.header("RSeq") != null) {
-      long sequence = response.numericHeader("RSeq", 0);
-      told.add("RSeq", Integer.toString(reliableNumber(number, sequence, response)));
+      long rseq = response.numericHeader("RSeq", 0);
+      relayed.add("RSeq", Integer.toString(callerRseq(attempt, rseq, response)));
     }
-    caller.progress(told);
+    callerLeg.progress(relayed);
   }
 
   /** Numbers of reliable answers grow by one on the caller's leg, whichever attempt they are of. */
-  private int reliableNumber(int number, long sequence, SipResponse response) {
-    Reliable made = new Reliable(number, sequence, response.cseq().number());
-    int known = reliable.indexOf(made);
-    if (known < 0 && reliable.size() < RELIABLE_MOST) {
-      reliable.add(made);
-      return reliable.size();
+  private int callerRseq(int attempt, long rseq, SipResponse response) {
+    RelayedProvisional provisional =
+        new RelayedProvisional(attempt, rseq, response.cseq().number());
+    int index = reliableResponses.indexOf(provisional);
+    if (index < 0 && reliableResponses.size() < MAX_RELIABLE_RESPONSES) {
+      reliableResponses.add(provisional);
+      return reliableResponses.size();
     }
-    return known + 1;
+    return index + 1;
   }
 
-  private void prack(ServerTransaction transaction, SipRequest request) {
+  private void relayPrack(ServerTransaction transaction, SipRequest request) {
     String[] parts = request.header("RAck", "").trim().split("[ \t]+");
-    int known = parts.length == 3 && parts[0].matches("[0-9]{1,4}") ? place(parts[0]) : -1;
-    Reliable told = known < 0 ? null : reliable.get(known);
-    if (told == null || told.attempt() != attempt) {
+    int index =
+        parts.length == 3 && parts[0].matches("[0-9]{1,4}") ? indexOfCallerRseq(parts[0]) : -1;
+    RelayedProvisional provisional = index < 0 ? null : reliableResponses.get(index);
+    if (provisional == null || provisional.attempt() != currentAttempt) {
       transaction.respond(request.response(481));
     } else {
-      String rack = told.number() + " " + told.cseq() + " INVITE";
-      relay(caller, attemptLeg, transaction, request, rack);
+      String rack = provisional.rseq() + " " + provisional.cseq() + " INVITE";
+      relay(callerLeg, attemptLeg, transaction, request, rack);
     }
   }
 
-  private int place(String number) {
-    int at = Integer.parseInt(number) - 1;
-    return at < reliable.size() ? at : -1;
+  private int indexOfCallerRseq(String callerRseq) {
+    int index = Integer.parseInt(callerRseq) - 1;
+    return index < reliableResponses.size() ? index : -1;
   }
 
   private void relay(
-      CallLeg from, CallLeg to, ServerTransaction transaction, SipRequest request, String rack) {
-    RequestRelay.forward(from, to, transaction, request, rack, this::agreed);
+      CallLeg fromLeg,
+      CallLeg toLeg,
+      ServerTransaction transaction,
+      SipRequest request,
+      String rack) {
+    RequestRelay.forward(fromLeg, toLeg, transaction, request, rack, this::sessionRefreshed);
   }
 
-  private void agreed(SipResponse response) {
-    watchSession(response);
-    front.changed(id);
+  private void sessionRefreshed(SipResponse response) {
+    restartSessionTimer(response);
+    front.callChanged(id);
   }
 
   /**
    * Ends a call whose session timer ran out unrefreshed (RFC 4028 section 10): both ends have then
    * gone without a word, and its circuits must not stay held.
    */
-  private void watchSession(SipMessage agreed) {
-    double seconds = agreed.numericHeader("Session-Expires", 0);
-    if (seconds > 0) {
-      sessionLasts = seconds * 1000;
+  private void restartSessionTimer(SipMessage message) {
+    double intervalSeconds = message.numericHeader("Session-Expires", 0);
+    if (intervalSeconds > 0) {
+      sessionIntervalMillis = intervalSeconds * 1000;
     }
-    watchSession();
+    restartSessionTimer();
   }
 
-  private void watchSession() {
-    if (sessionLasts > 0) {
+  private void restartSessionTimer() {
+    if (sessionIntervalMillis > 0) {
       if (sessionTimer != null) {
         sessionTimer.cancel();
       }
-      sessionTimer = front.host().schedule(sessionLasts, this::sessionOver);
+      sessionTimer = front.host().schedule(sessionIntervalMillis, this::sessionExpired);
     }
   }
 
   /** Ends the call as its session ran out. */
-  void sessionOver() {
-    if (caller.state() != CallLeg.State.ENDED) {
+  void sessionExpired() {
+    if (callerLeg.state() != CallLeg.State.ENDED) {
       releaseCaller(true);
       front.controller().callerReleased(id);
-      front.tidy(id);
+      front.removeIfEnded(id);
     }
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
@@ -42,14 +42,14 @@
         return type;
       }
     }
-    int found = defaultClass;
-    int length = -1;
+    int type = defaultClass;
+    int longestMatch = -1;
     for (Prefix prefix : prefixes) {
-      if (number.startsWith(prefix.digits()) && prefix.digits().length() > length) {
-        found = prefix.type();
-        length = prefix.digits().length();
+      if (number.startsWith(prefix.digits()) && prefix.digits().length() > longestMatch) {
+        type = prefix.type();
+        longestMatch = prefix.digits().length();
       }
     }
-    return found;
+    return type;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -21,21 +21,22 @@
     if (answer.reason() == Reason.NUMBER_BUSY) {
       return caller.response(486);
     }
-    int seconds = (int) Math.ceil(answer.retryAfterMillis() / 1000);
+    int retryAfterSeconds = (int) Math.ceil(answer.retryAfterMillis() / 1000);
     if (transit || answer.kind() == FinalAnswer.Kind.REFUSED) {
-      boolean full = answer.reason() == Reason.PROCESSOR_FULL;
-      int cause = full ? ReasonField.CONGESTION : ReasonField.NO_CIRCUIT;
-      return unavailable(caller, cause, transit, seconds);
+      boolean processorFull = answer.reason() == Reason.PROCESSOR_FULL;
+      int cause = processorFull ? ReasonField.CONGESTION : ReasonField.NO_CIRCUIT;
+      return unavailable(caller, cause, transit, retryAfterSeconds);
     }
     return caller.response(answer.reason() == Reason.NONE ? 408 : 480);
   }
 
   /** A 503 with its cause; {@code seconds} is when to come back, 0 for no word on it. */
-  static SipResponse unavailable(CallLeg caller, int cause, boolean transit, int seconds) {
+  static SipResponse unavailable(
+      CallLeg caller, int cause, boolean transit, int retryAfterSeconds) {
     SipResponse response = caller.response(503);
-    response.add("Reason", ReasonField.write(cause, transit));
-    if (seconds > 0) {
-      response.add("Retry-After", Integer.toString(seconds));
+    response.add("Reason", ReasonField.format(cause, transit));
+    if (retryAfterSeconds > 0) {
+      response.add("Retry-After", Integer.toString(retryAfterSeconds));
     }
     return response;
   }
--- a/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
@@ -39,8 +39,8 @@
     require(retryAfterSeconds > 0, "retryAfter", retryAfterSeconds);
   }
 
-  private static void require(boolean usable, String setting, Object value) {
-    if (!usable) {
+  private static void require(boolean valid, String setting, Object value) {
+    if (!valid) {
       throw new IllegalArgumentException("unusable setting " + setting + "=" + value);
     }
   }
--- a/sipfront/src/main/java/coveladder/sipfront/HostClock.java
+++ b/sipfront/src/main/java/coveladder/sipfront/HostScheduler.java
@@ -4,10 +4,10 @@
 import coveladder.sip.SipHost;
 
 /** The world's clock as the core wants it. */
-final class HostClock implements Scheduler {
+final class HostScheduler implements Scheduler {
   private final SipHost host;
 
-  HostClock(SipHost host) {
+  HostScheduler(SipHost host) {
     this.host = host;
   }
 
@@ -17,7 +17,7 @@
   }
 
   @Override
-  public Timer schedule(double delay, Runnable task) {
-    return host.schedule(delay, task)::cancel;
+  public Timer schedule(double delayMillis, Runnable task) {
+    return host.schedule(delayMillis, task)::cancel;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -21,35 +21,36 @@
  *
  * @param hop the other side
  * @param callId Call-ID
- * @param tag own tag
+ * @param localTag own tag
  * @param remoteTag the other side's tag; empty before there is one
  * @param acknowledged whether the answer's ACK has passed
  * @param progress what has changed in the dialog; null before there is one
- * @param session time that the session lasts without a refresh, s; 0: for ever (RFC 4028)
+ * @param sessionIntervalSeconds time that the session lasts without a refresh, s; 0: for ever (RFC
+ *     4028)
  * @param invite the INVITE
  * @param answer the final answer; empty before there is one
  */
 record LegRecord(
     Hop hop,
     String callId,
-    String tag,
+    String localTag,
     String remoteTag,
     boolean acknowledged,
     Dialog.Progress progress,
-    long session,
+    long sessionIntervalSeconds,
     byte[] invite,
     byte[] answer) {
-  private static final int HEADERS = 1_000;
-  private static final byte[] NONE = {};
+  private static final int MAX_HEADERS = 1_000;
+  private static final byte[] EMPTY = {};
 
-  byte[] write() {
+  byte[] encode() {
     ByteArrayOutputStream out = new ByteArrayOutputStream(invite.length + answer.length + 128);
     try (DataOutputStream data = new DataOutputStream(out)) {
       data.writeUTF(hop.transport().name());
       data.writeUTF(hop.host());
       data.writeInt(hop.port());
       data.writeUTF(callId);
-      data.writeUTF(tag);
+      data.writeUTF(localTag);
       data.writeUTF(remoteTag);
       data.writeBoolean(acknowledged);
       data.writeBoolean(progress != null);
@@ -58,7 +59,7 @@
         data.writeLong(progress.remoteSequence());
         data.writeUTF(progress.remoteTarget());
       }
-      data.writeLong(session);
+      data.writeLong(sessionIntervalSeconds);
       data.writeInt(invite.length);
       data.write(invite);
       data.writeInt(answer.length);
@@ -69,56 +70,74 @@
     return out.toByteArray();
   }
 
-  static LegRecord read(byte[] octets) {
-    return read(octets, true);
+  static LegRecord decode(byte[] octets) {
+    return decode(octets, true);
   }
 
   /** Reads all but the messages, which are the most of it. */
-  static LegRecord readHead(byte[] octets) {
-    return read(octets, false);
+  static LegRecord decodeHead(byte[] octets) {
+    return decode(octets, false);
   }
 
-  private static LegRecord read(byte[] octets, boolean whole) {
+  private static LegRecord decode(byte[] octets, boolean withMessages) {
     try (DataInputStream data = new DataInputStream(new ByteArrayInputStream(octets))) {
       Hop hop = new Hop(Transport.fromName(data.readUTF()), data.readUTF(), data.readInt());
       String callId = data.readUTF();
-      String tag = data.readUTF();
+      String localTag = data.readUTF();
       String remoteTag = data.readUTF();
       boolean acknowledged = data.readBoolean();
       Dialog.Progress progress =
           data.readBoolean()
               ? new Dialog.Progress(data.readLong(), data.readLong(), data.readUTF())
               : null;
-      long session = data.readLong();
-      byte[] invite = whole ? data.readNBytes(data.readInt()) : NONE;
-      byte[] answer = whole ? data.readNBytes(data.readInt()) : NONE;
+      long sessionIntervalSeconds = data.readLong();
+      byte[] invite = withMessages ? data.readNBytes(data.readInt()) : EMPTY;
+      byte[] answer = withMessages ? data.readNBytes(data.readInt()) : EMPTY;
       return new LegRecord(
-          hop, callId, tag, remoteTag, acknowledged, progress, session, invite, answer);
+          hop,
+          callId,
+          localTag,
+          remoteTag,
+          acknowledged,
+          progress,
+          sessionIntervalSeconds,
+          invite,
+          answer);
     } catch (IOException e) {
       throw new IllegalArgumentException("a kept leg is cut short", e);
     }
   }
 
-  LegRecord with(boolean nowAcknowledged, Dialog.Progress now, long lasts) {
-    return new LegRecord(hop, callId, tag, remoteTag, nowAcknowledged, now, lasts, invite, answer);
+  LegRecord withDialogState(
+      boolean newAcknowledged, Dialog.Progress newProgress, long newIntervalSeconds) {
+    return new LegRecord(
+        hop,
+        callId,
+        localTag,
+        remoteTag,
+        newAcknowledged,
+        newProgress,
+        newIntervalSeconds,
+        invite,
+        answer);
   }
 
   /** Key of its dialog. */
   String dialogKey() {
-    return Dialog.key(callId, tag, remoteTag);
+    return Dialog.key(callId, localTag, remoteTag);
   }
 
-  SipRequest request() {
+  SipRequest parseInvite() {
     return (SipRequest) parse(invite);
   }
 
-  SipResponse response() {
+  SipResponse parseAnswer() {
     return (SipResponse) parse(answer);
   }
 
   private static SipMessage parse(byte[] octets) {
     try {
-      return new SipParser(HEADERS).parse(octets);
+      return new SipParser(MAX_HEADERS).parse(octets);
     } catch (SipParseException e) {
       throw new IllegalArgumentException("a kept message is no message: " + e.getMessage(), e);
     }
--- /dev/null
+++ b/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
@@ -0,0 +1,134 @@
+package coveladder.sipfront;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import coveladder.CallPolicy.ExchangeState;
+import coveladder.core.ExchangeDirectory;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The JSON bodies of the event packages {@code exchange-list} and {@code circuit-groups}. */
+final class NotifyBodies {
+  private static final ObjectMapper MAPPER = new ObjectMapper();
+
+  private NotifyBodies() {}
+
+  /** A body that is not what its package says; the message tells where and what was expected. */
+  static final class MalformedBodyException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    MalformedBodyException(String reason) {
+      super(reason);
+    }
+  }
+
+  /**
+   * Circuits of one group.
+   *
+   * @param remoteExchange number of the exchange at the other end
+   * @param free free circuits
+   * @param size circuits in all
+   */
+  record CircuitGroup(int remoteExchange, int free, int size) {}
+
+  /**
+   * One report of the switch.
+   *
+   * @param epoch names one life of the switch; versions count within it
+   * @param version version of this report
+   * @param groups the groups told
+   */
+  record CircuitReport(String epoch, long version, List<CircuitGroup> groups) {}
+
+  static ExchangeDirectory.Update parseDirectoryUpdate(String body, double now)
+      throws MalformedBodyException {
+    JsonNode root = parseObject(body);
+    List<ExchangeDirectory.Entry> entries = new ArrayList<>();
+    int index = 0;
+    for (JsonNode node : requireArray(root, "exchanges")) {
+      entries.add(parseEntry(node, "exchanges[" + index + "].", now));
+      index++;
+    }
+    boolean full = requireField(root, "", "full").asBoolean();
+    long previousVersion = full ? 0 : requireInteger(root, "", "after");
+    return new ExchangeDirectory.Update(
+        full, previousVersion, requireInteger(root, "", "version"), entries);
+  }
+
+  private static ExchangeDirectory.Entry parseEntry(JsonNode node, String path, double now)
+      throws MalformedBodyException {
+    double ageMillis = node.path("age").isNumber() ? node.path("age").asDouble() : -1;
+    return new ExchangeDirectory.Entry(
+        requireField(node, path, "id").asText(),
+        (int) requireInteger(node, path, "number"),
+        requireField(node, path, "domain").asText(),
+        requireField(node, path, "address").asText(),
+        parseState(requireField(node, path, "state").asText(), path),
+        ageMillis < 0 ? 0 : Math.max(1, now - ageMillis));
+  }
+
+  private static ExchangeState parseState(String word, String path) throws MalformedBodyException {
+    return switch (word) {
+      case "in-service" -> ExchangeState.IN_SERVICE;
+      case "draining" -> ExchangeState.DRAINING;
+      case "gone" -> ExchangeState.GONE;
+      default ->
+          throw new MalformedBodyException(
+              path + "state is " + word + ", not in-service, draining or gone");
+    };
+  }
+
+  static CircuitReport parseCircuitReport(String body) throws MalformedBodyException {
+    JsonNode root = parseObject(body);
+    List<CircuitGroup> groups = new ArrayList<>();
+    int index = 0;
+    for (JsonNode node : requireArray(root, "groups")) {
+      String path = "groups[" + index + "].";
+      int free = (int) requireInteger(node, path, "free");
+      int size = (int) requireInteger(node, path, "size");
+      groups.add(new CircuitGroup((int) requireInteger(node, path, "toward"), free, size));
+      index++;
+    }
+    return new CircuitReport(
+        requireField(root, "", "epoch").asText(), requireInteger(root, "", "version"), groups);
+  }
+
+  private static JsonNode parseObject(String body) throws MalformedBodyException {
+    try {
+      JsonNode root = MAPPER.readTree(body);
+      if (root == null || !root.isObject()) {
+        throw new MalformedBodyException("body is no JSON object");
+      }
+      return root;
+    } catch (JsonProcessingException e) {
+      throw new MalformedBodyException("body is no JSON: " + e.getOriginalMessage());
+    }
+  }
+
+  private static JsonNode requireArray(JsonNode root, String name) throws MalformedBodyException {
+    JsonNode node = requireField(root, "", name);
+    if (!node.isArray()) {
+      throw new MalformedBodyException(name + " is no array");
+    }
+    return node;
+  }
+
+  private static JsonNode requireField(JsonNode node, String path, String name)
+      throws MalformedBodyException {
+    JsonNode value = node.get(name);
+    if (value == null || value.isNull()) {
+      throw new MalformedBodyException(path + name + " is missing");
+    }
+    return value;
+  }
+
+  private static long requireInteger(JsonNode node, String path, String name)
+      throws MalformedBodyException {
+    JsonNode value = requireField(node, path, name);
+    if (!value.canConvertToLong() || !value.isIntegralNumber()) {
+      throw new MalformedBodyException(path + name + " is no whole number");
+    }
+    return value.asLong();
+  }
+}
--- a/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
+++ b/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
@@ -16,28 +16,28 @@
   static Report of(SipResponse response, double now) {
     Via via = response.via();
     Params params = via.params();
-    double value = number(params.get("oc"));
-    double validity = number(params.get("oc-validity"));
+    double value = parseNumber(params.get("oc"));
+    double validityMillis = parseNumber(params.get("oc-validity"));
     if (Double.isNaN(value)) {
       return null;
     }
-    boolean rate = "rate".equals(unquoted(params.get("oc-algo")));
-    double until = now + (Double.isNaN(validity) ? 500 : validity);
-    double sequence = number(params.get("oc-seq"));
+    boolean byRate = "rate".equals(unquoted(params.get("oc-algo")));
+    double validUntil = now + (Double.isNaN(validityMillis) ? 500 : validityMillis);
+    double sequence = parseNumber(params.get("oc-seq"));
     return new Report(
-        rate ? Double.NaN : Math.min(100, value) / 100,
-        rate ? value : Double.NaN,
+        byRate ? Double.NaN : Math.min(100, value) / 100,
+        byRate ? value : Double.NaN,
         Double.NaN,
         Double.NaN,
         Double.isNaN(sequence) ? now : sequence,
-        until);
+        validUntil);
   }
 
   private static String unquoted(String text) {
     return text == null ? "" : text.replace("\"", "");
   }
 
-  private static double number(String text) {
+  private static double parseNumber(String text) {
     try {
       double value = text == null || text.isEmpty() ? Double.NaN : Double.parseDouble(text);
       return value >= 0 && value < 1e15 ? value : Double.NaN;
--- a/sipfront/src/main/java/coveladder/sipfront/KeepingJournal.java
+++ b/sipfront/src/main/java/coveladder/sipfront/PersistingObserver.java
@@ -11,55 +11,55 @@
 import coveladder.core.recovery.WriteAheadSignalling;
 
 /** Passes each step on, and lets what is kept of a call go with it. */
-final class KeepingJournal implements CallController.Observer {
-  private final CallController.Observer inner;
+final class PersistingObserver implements CallController.Observer {
+  private final CallController.Observer delegate;
   private final WriteAheadSignalling writeAhead;
-  private final RecoveryRate pace;
-  private final Scheduler clock;
+  private final RecoveryRate recoveryRate;
+  private final Scheduler scheduler;
 
-  KeepingJournal(
-      CallController.Observer inner,
+  PersistingObserver(
+      CallController.Observer delegate,
       WriteAheadSignalling writeAhead,
-      RecoveryRate pace,
-      Scheduler clock) {
-    this.inner = inner;
+      RecoveryRate recoveryRate,
+      Scheduler scheduler) {
+    this.delegate = delegate;
     this.writeAhead = writeAhead;
-    this.pace = pace;
-    this.clock = clock;
+    this.recoveryRate = recoveryRate;
+    this.scheduler = scheduler;
   }
 
   @Override
   public void callAccepted(TrackedCall call) {
-    inner.callAccepted(call);
+    delegate.callAccepted(call);
   }
 
   @Override
-  public void attemptSent(TrackedCall call, AttemptRequest order) {
-    inner.attemptSent(call, order);
+  public void attemptSent(TrackedCall call, AttemptRequest request) {
+    delegate.attemptSent(call, request);
   }
 
   @Override
   public void attemptEnded(
-      TrackedCall call, int attempt, Outcome outcome, Reason reason, double spent) {
-    inner.attemptEnded(call, attempt, outcome, reason, spent);
+      TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsed) {
+    delegate.attemptEnded(call, attempt, outcome, reason, elapsed);
     if (reason == Reason.PROCESSOR_FULL) {
-      pace.rejectedByProcessor(clock.now());
+      recoveryRate.rejectedByProcessor(scheduler.now());
     }
   }
 
   @Override
-  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double after) {
-    inner.finalAnswerGiven(call, answer, after);
+  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsed) {
+    delegate.finalAnswerGiven(call, answer, elapsed);
   }
 
   @Override
-  public void callerAbandoned(TrackedCall call, double after) {
-    inner.callerAbandoned(call, after);
+  public void callerAbandoned(TrackedCall call, double elapsed) {
+    delegate.callerAbandoned(call, elapsed);
   }
 
   @Override
   public void callRemoved(TrackedCall call) {
-    inner.callRemoved(call);
+    delegate.callRemoved(call);
     writeAhead.callRemoved(call.call().id());
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -22,15 +22,15 @@
 
 /** Legs of SIP calls as they are kept, and made again after a restart. */
 final class SavedLegs implements CallLegs {
-  private static final byte[] NONE = {};
+  private static final byte[] EMPTY = {};
 
   private final SipFront front;
   private final LongSupplier wallClock;
-  private final Map<String, Asleep> asleep = new HashMap<>();
-  private final Map<String, CallLeg> expected = new HashMap<>();
+  private final Map<String, DeferredCall> deferredCalls = new HashMap<>();
+  private final Map<String, CallLeg> interruptedCallers = new HashMap<>();
 
   /** A call that stood before this life and has not been woken. */
-  private record Asleep(SavedCall saved, boolean owes, int life) {}
+  private record DeferredCall(SavedCall saved, boolean answerDue, int incarnation) {}
 
   SavedLegs(SipFront front, LongSupplier wallClock) {
     this.front = front;
@@ -47,26 +47,32 @@
   @Override
   public byte[] encodeCallerLeg(String call) {
     Bridge bridge = front.bridge(call);
-    byte[] answer = bridge.prepared() == null ? NONE : bridge.prepared().toBytes();
-    CallLeg leg = bridge.caller();
-    return record(leg, leg.invite().fromTag(), false, 0, answer).write();
+    byte[] answer = bridge.preparedAnswer() == null ? EMPTY : bridge.preparedAnswer().toBytes();
+    CallLeg leg = bridge.callerLeg();
+    return legRecord(leg, leg.invite().fromTag(), false, 0, answer).encode();
   }
 
   @Override
-  public byte[] prepareAttempt(AttemptRequest order) {
-    return record(front.prepare(order).attemptLeg(), "", false, 0, NONE).write();
+  public byte[] prepareAttempt(AttemptRequest request) {
+    return legRecord(front.prepareAttempt(request).attemptLeg(), "", false, 0, EMPTY).encode();
   }
 
   @Override
   public byte[] encodeAttemptLeg(String call) {
     Bridge bridge = front.bridge(call);
-    SipResponse answer = bridge.received();
-    long session = answer.numericHeader("Session-Expires", 0);
-    return record(bridge.attemptLeg(), answer.toTag(), true, session, answer.toBytes()).write();
+    SipResponse answer = bridge.calleeAnswer();
+    long sessionIntervalSeconds = answer.numericHeader("Session-Expires", 0);
+    return legRecord(
+            bridge.attemptLeg(), answer.toTag(), true, sessionIntervalSeconds, answer.toBytes())
+        .encode();
   }
 
-  private static LegRecord record(
-      CallLeg leg, String remoteTag, boolean acknowledged, long session, byte[] answer) {
+  private static LegRecord legRecord(
+      CallLeg leg,
+      String remoteTag,
+      boolean acknowledged,
+      long sessionIntervalSeconds,
+      byte[] answer) {
     return new LegRecord(
         leg.hop(),
         leg.invite().callId(),
@@ -74,17 +80,19 @@
         remoteTag == null ? "" : remoteTag,
         acknowledged,
         leg.progress(),
-        session,
+        sessionIntervalSeconds,
         leg.invite().toBytes(),
         answer);
   }
 
   @Override
-  public byte[] updateLeg(String call, boolean ofCaller, byte[] before) {
+  public byte[] updateLeg(String call, boolean callerSide, byte[] encodedLeg) {
     Bridge bridge = front.bridge(call);
-    CallLeg leg = ofCaller ? bridge.caller() : bridge.attemptLeg();
+    CallLeg leg = callerSide ? bridge.callerLeg() : bridge.attemptLeg();
     boolean acknowledged = leg.state() == CallLeg.State.CONFIRMED;
-    return LegRecord.read(before).with(acknowledged, leg.progress(), bridge.session()).write();
+    return LegRecord.decode(encodedLeg)
+        .withDialogState(acknowledged, leg.progress(), bridge.sessionIntervalSeconds())
+        .encode();
   }
 
   @Override
@@ -95,7 +103,7 @@
   @Override
   public boolean isReleasing(String call) {
     Bridge bridge = front.bridge(call);
-    return bridge != null && bridge.releasing();
+    return bridge != null && bridge.isReleasing();
   }
 
   @Override
@@ -110,149 +118,163 @@
    * to be done with it.
    */
   @Override
-  public void resume(SavedCall saved, boolean owed, int life) {
-    LegRecord from = LegRecord.readHead(saved.callerLeg());
-    LegRecord to = LegRecord.readHead(saved.attemptLeg());
-    boolean owes = owed && !from.acknowledged();
-    asleep.put(saved.id(), new Asleep(saved, owes, life));
-    keys(from, to).forEach(key -> front.agent().deferRestore(key, () -> wake(saved.id())));
-    if (owes) {
-      wake(saved.id());
-    } else if (to.session() > 0) {
-      front.host().schedule(1000.0 * to.session(), () -> sessionOver(saved.id()));
+  public void resume(SavedCall saved, boolean answerDue, int incarnation) {
+    LegRecord callerRecord = LegRecord.decodeHead(saved.callerLeg());
+    LegRecord attemptRecord = LegRecord.decodeHead(saved.attemptLeg());
+    boolean answerUnacknowledged = answerDue && !callerRecord.acknowledged();
+    deferredCalls.put(saved.id(), new DeferredCall(saved, answerUnacknowledged, incarnation));
+    restoreKeys(callerRecord, attemptRecord)
+        .forEach(key -> front.userAgent().deferRestore(key, () -> restore(saved.id())));
+    if (answerUnacknowledged) {
+      restore(saved.id());
+    } else if (attemptRecord.sessionIntervalSeconds() > 0) {
+      front
+          .host()
+          .schedule(
+              1000.0 * attemptRecord.sessionIntervalSeconds(), () -> sessionExpired(saved.id()));
     }
   }
 
-  private static List<String> keys(LegRecord from, LegRecord to) {
-    String repeat = UserAgent.initialInviteKey(from.callId(), from.remoteTag());
-    return List.of(from.dialogKey(), to.dialogKey(), repeat);
+  private static List<String> restoreKeys(LegRecord callerRecord, LegRecord attemptRecord) {
+    String retransmittedInvite =
+        UserAgent.initialInviteKey(callerRecord.callId(), callerRecord.remoteTag());
+    return List.of(callerRecord.dialogKey(), attemptRecord.dialogKey(), retransmittedInvite);
   }
 
   /** Its session was not refreshed by any message: the call slept all the time. */
-  private void sessionOver(String call) {
-    if (asleep.containsKey(call)) {
-      wake(call).sessionOver();
+  private void sessionExpired(String call) {
+    if (deferredCalls.containsKey(call)) {
+      restore(call).sessionExpired();
     }
   }
 
   /** Calls that sleep. */
-  int asleep() {
-    return asleep.size();
+  int deferredCallCount() {
+    return deferredCalls.size();
   }
 
   /** Makes the legs of a call that sleeps; null where none of that id does. */
-  Bridge wake(String call) {
-    Asleep was = asleep.remove(call);
-    if (was == null) {
+  Bridge restore(String call) {
+    DeferredCall deferred = deferredCalls.remove(call);
+    if (deferred == null) {
       return null;
     }
-    SavedCall saved = was.saved();
-    LegRecord from = LegRecord.read(saved.callerLeg());
-    LegRecord to = LegRecord.read(saved.attemptLeg());
-    keys(from, to).forEach(front.agent()::cancelDeferredRestore);
+    SavedCall saved = deferred.saved();
+    LegRecord callerRecord = LegRecord.decode(saved.callerLeg());
+    LegRecord attemptRecord = LegRecord.decode(saved.attemptLeg());
+    restoreKeys(callerRecord, attemptRecord).forEach(front.userAgent()::cancelDeferredRestore);
     Bridge bridge = new Bridge(front, saved.id(), saved.call().transit(), null);
-    front.hold(saved.id(), bridge);
+    front.addBridge(saved.id(), bridge);
     CallLeg caller =
         front
-            .agent()
+            .userAgent()
             .resumeCallee(
-                from.request(),
-                from.hop(),
-                from.response(),
-                !was.owes(),
-                (from.progress() == null ? begun(from) : from.progress())
-                    .forIncarnation(was.life()),
-                bridge.callerSide());
+                callerRecord.parseInvite(),
+                callerRecord.hop(),
+                callerRecord.parseAnswer(),
+                !deferred.answerDue(),
+                (callerRecord.progress() == null
+                        ? initialProgress(callerRecord)
+                        : callerRecord.progress())
+                    .forIncarnation(deferred.incarnation()),
+                bridge.callerListener());
     CallLeg attempt =
         front
-            .agent()
+            .userAgent()
             .resumeCaller(
-                to.request(),
-                to.hop(),
-                to.response(),
-                to.progress().forIncarnation(was.life()),
-                bridge.attemptSide(saved.attempt()));
-    bridge.resume(caller, attempt, saved.attempt(), to.session());
+                attemptRecord.parseInvite(),
+                attemptRecord.hop(),
+                attemptRecord.parseAnswer(),
+                attemptRecord.progress().forIncarnation(deferred.incarnation()),
+                bridge.attemptListener(saved.attempt()));
+    bridge.resume(caller, attempt, saved.attempt(), attemptRecord.sessionIntervalSeconds());
     return bridge;
   }
 
   /** A dialog that was written before its answer left has only what its INVITE says. */
-  private static Dialog.Progress begun(LegRecord leg) {
-    NameAddr contact = leg.request().addressHeader("Contact");
-    String target = contact == null ? leg.request().from().uri() : contact.uri();
-    return new Dialog.Progress(0, leg.request().cseq().number(), target);
+  private static Dialog.Progress initialProgress(LegRecord callerRecord) {
+    NameAddr contact = callerRecord.parseInvite().addressHeader("Contact");
+    String target = contact == null ? callerRecord.parseInvite().from().uri() : contact.uri();
+    return new Dialog.Progress(0, callerRecord.parseInvite().cseq().number(), target);
   }
 
   @Override
-  public void verify(String call, boolean ofCaller, Consumer<LegStatus> told) {
+  public void verify(String call, boolean callerSide, Consumer<LegStatus> result) {
     Bridge bridge = front.bridge(call);
-    CallLeg leg = ofCaller ? bridge.caller() : bridge.attemptLeg();
-    if (!leg.send("OPTIONS", null, new HeldAnswers(told))) {
-      told.accept(LegStatus.GONE);
+    CallLeg leg = callerSide ? bridge.callerLeg() : bridge.attemptLeg();
+    if (!leg.send("OPTIONS", null, new VerificationListener(result))) {
+      result.accept(LegStatus.GONE);
     }
   }
 
   /** Reads from the answer to an OPTIONS within a dialog whether the other side holds it. */
-  private record HeldAnswers(Consumer<LegStatus> told) implements ClientTransaction.Listener {
+  private record VerificationListener(Consumer<LegStatus> result)
+      implements ClientTransaction.Listener {
     @Override
     public void response(SipResponse response) {
       if (!response.isProvisional()) {
-        boolean unsure = response.status() == 408 || response.status() >= 500;
-        told.accept(
+        boolean unknown = response.status() == 408 || response.status() >= 500;
+        result.accept(
             response.status() == 481
                 ? LegStatus.GONE
-                : unsure ? LegStatus.UNKNOWN : LegStatus.ACTIVE);
+                : unknown ? LegStatus.UNKNOWN : LegStatus.ACTIVE);
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      told.accept(LegStatus.UNKNOWN);
+      result.accept(LegStatus.UNKNOWN);
     }
   }
 
   @Override
-  public void releaseLost(String call, boolean ofCaller) {
+  public void releaseLost(String call, boolean callerSide) {
     Bridge bridge = front.bridge(call);
     if (bridge == null) {
       return;
     }
-    if (ofCaller) {
+    if (callerSide) {
       front.controller().callerReleased(call);
-      bridge.caller().bye(null);
+      bridge.callerLeg().bye(null);
     } else {
       bridge.attemptLeg().bye(null);
-      front.controller().attemptEnded(call, bridge.attempt(), Outcome.RESET, Reason.NONE, 0);
+      front.controller().attemptEnded(call, bridge.currentAttempt(), Outcome.RESET, Reason.NONE, 0);
     }
-    front.tidy(call);
+    front.removeIfEnded(call);
   }
 
   @Override
-  public void cancelAfterRestart(SavedCall saved, Runnable over) {
-    LegRecord to = LegRecord.read(saved.attemptLeg());
-    front.agent().cancelAfterRestart(to.request(), to.hop(), over);
+  public void cancelAfterRestart(SavedCall saved, Runnable whenEnded) {
+    LegRecord attemptRecord = LegRecord.decode(saved.attemptLeg());
+    front
+        .userAgent()
+        .cancelAfterRestart(attemptRecord.parseInvite(), attemptRecord.hop(), whenEnded);
   }
 
   @Override
   public void restoreCallerLeg(
-      SavedCall saved, Consumer<Runnable> whenCalledOff, Runnable whenRepeated) {
-    LegRecord from = LegRecord.read(saved.callerLeg());
-    CallListener waits =
+      SavedCall saved, Consumer<Runnable> whenCancelled, Runnable whenRetransmitted) {
+    LegRecord callerRecord = LegRecord.decode(saved.callerLeg());
+    CallListener listener =
         new CallListener() {
           @Override
-          public void cancelRequested(CallLeg leg, Runnable answer) {
-            whenCalledOff.accept(answer);
+          public void cancelRequested(CallLeg leg, Runnable sendResponse) {
+            whenCancelled.accept(sendResponse);
           }
 
           @Override
           public void inviteRetransmitted(CallLeg leg) {
-            whenRepeated.run();
+            whenRetransmitted.run();
             // One that gets no other answer hears this, so that it can call off.
             leg.progress(leg.response(100));
           }
         };
-    CallLeg leg = front.agent().resumePending(from.request(), from.hop(), from.tag(), waits);
-    expected.put(saved.id(), leg);
+    CallLeg leg =
+        front
+            .userAgent()
+            .resumePending(
+                callerRecord.parseInvite(), callerRecord.hop(), callerRecord.localTag(), listener);
+    interruptedCallers.put(saved.id(), leg);
     front
         .host()
         .schedule(front.settings().timing().transactionTimeout(), () -> abandon(saved.id()));
@@ -260,7 +282,7 @@
 
   /** A caller that was not known to wait gets no answer unless it asks for one. */
   private void abandon(String call) {
-    CallLeg leg = expected.remove(call);
+    CallLeg leg = interruptedCallers.remove(call);
     if (leg != null) {
       leg.abandon();
     }
@@ -268,13 +290,13 @@
 
   @Override
   public byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer) {
-    CallLeg leg = expected.get(saved.id());
+    CallLeg leg = interruptedCallers.get(saved.id());
     return FinalResponses.of(leg, answer, saved.call().transit(), front.settings()).toBytes();
   }
 
   @Override
   public void answerCancelled(SavedCall saved) {
-    CallLeg leg = expected.remove(saved.id());
+    CallLeg leg = interruptedCallers.remove(saved.id());
     if (leg != null) {
       leg.reject(leg.response(487));
     }
@@ -282,11 +304,11 @@
 
   @Override
   public void resendFinalAnswer(SavedCall saved) {
-    LegRecord answer =
-        new LegRecord(front.ownSwitch(), "", "", "", false, null, 0, NONE, saved.answer());
-    CallLeg leg = expected.remove(saved.id());
+    LegRecord answerRecord =
+        new LegRecord(front.localSwitch(), "", "", "", false, null, 0, EMPTY, saved.answer());
+    CallLeg leg = interruptedCallers.remove(saved.id());
     if (leg != null) {
-      leg.reject(answer.response());
+      leg.reject(answerRecord.parseAnswer());
     }
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -54,69 +54,84 @@
   private FrontSettings settings;
   private final SipStack stack;
   private final CallController controller;
-  private final Scheduler clock;
+  private final Scheduler scheduler;
   private final Map<String, Bridge> bridges = new HashMap<>();
-  private final Subscriber list;
-  private final Subscriber circuits;
+  private final Subscriber directorySubscriber;
+  private final Subscriber circuitSubscriber;
   private String circuitEpoch = "";
-  private final String base;
-  private SavedLegs legs;
+  private final String callIdPrefix;
+  private SavedLegs savedLegs;
   private WriteAheadSignalling writeAhead;
   private Recovery recovery;
-  private long sequence;
-  private String lastFeedError = "";
-  private Bridge taking;
+  private long lastCallNumber;
+  private String lastNotifyError = "";
+  private Bridge incomingBridge;
 
   /**
    * Makes a controller whose calls do not survive a restart. It does nothing before {@link #start}.
    *
-   * @param policies makes the policy that decides
+   * @param policyFactory makes the policy that decides
    */
   public SipFront(
       SipHost host,
       FrontSettings settings,
-      CallPolicy.Settings rules,
-      AttemptGuard guard,
-      CallController.Observer journal,
-      Function<CallPolicy.Actions, CallPolicy> policies) {
-    this(host, settings, rules, guard, journal, policies, null);
+      CallPolicy.Settings policySettings,
+      AttemptGuard attemptGuard,
+      CallController.Observer observer,
+      Function<CallPolicy.Actions, CallPolicy> policyFactory) {
+    this(host, settings, policySettings, attemptGuard, observer, policyFactory, null);
   }
 
   /**
    * Makes a controller. It does nothing before {@link #start}.
    *
-   * @param policies makes the policy that decides
-   * @param keeping where calls are kept, and how a start goes on from it; null: nowhere
+   * @param policyFactory makes the policy that decides
+   * @param persistence where calls are kept, and how a start goes on from it; null: nowhere
    */
   public SipFront(
       SipHost host,
       FrontSettings settings,
-      CallPolicy.Settings rules,
-      AttemptGuard guard,
-      CallController.Observer journal,
-      Function<CallPolicy.Actions, CallPolicy> policies,
-      Persistence keeping) {
+      CallPolicy.Settings policySettings,
+      AttemptGuard attemptGuard,
+      CallController.Observer observer,
+      Function<CallPolicy.Actions, CallPolicy> policyFactory,
+      Persistence persistence) {
     this.host = host;
     this.settings = settings;
-    this.clock = new HostClock(host);
+    this.scheduler = new HostScheduler(host);
     this.stack = new SipStack(host, settings.timing(), settings.limits(), this);
-    this.base = stack.userAgent().newTag() + '-';
-    if (keeping == null) {
-      this.controller = new CallController(rules, this, guard, journal, policies);
+    this.callIdPrefix = stack.userAgent().newTag() + '-';
+    if (persistence == null) {
+      this.controller =
+          new CallController(policySettings, this, attemptGuard, observer, policyFactory);
     } else {
-      this.legs = new SavedLegs(this, keeping.wallClock());
-      double life = settings.timing().transactionTimeout();
-      this.writeAhead = new WriteAheadSignalling(this, legs, keeping.store(), life);
-      RecoveryRate pace =
-          new RecoveryRate(keeping.recoveryBudget(), rules.coldShare(), rules.rampTime());
-      CallController.Observer both = new KeepingJournal(journal, writeAhead, pace, clock);
-      this.controller = new CallController(rules, writeAhead, guard, both, policies);
+      this.savedLegs = new SavedLegs(this, persistence.wallClock());
+      double transactionTimeoutMillis = settings.timing().transactionTimeout();
+      this.writeAhead =
+          new WriteAheadSignalling(this, savedLegs, persistence.store(), transactionTimeoutMillis);
+      RecoveryRate recoveryRate =
+          new RecoveryRate(
+              persistence.recoveryBudget(), policySettings.coldShare(), policySettings.rampTime());
+      CallController.Observer persistingObserver =
+          new PersistingObserver(observer, writeAhead, recoveryRate, scheduler);
+      this.controller =
+          new CallController(
+              policySettings, writeAhead, attemptGuard, persistingObserver, policyFactory);
       writeAhead.setController(controller);
       this.recovery =
-          new Recovery(controller, writeAhead, keeping.store(), legs, clock, pace, life);
+          new Recovery(
+              controller,
+              writeAhead,
+              persistence.store(),
+              savedLegs,
+              scheduler,
+              recoveryRate,
+              transactionTimeoutMillis);
     }
-    this.list = subscriber(LIST_EVENT, settings.listServer(), new ListWatcher());
-    this.circuits = subscriber(CIRCUIT_EVENT, settings.localSwitch(), new CircuitWatcher());
+    this.directorySubscriber =
+        newSubscriber(LIST_EVENT, settings.listServer(), new DirectoryWatcher());
+    this.circuitSubscriber =
+        newSubscriber(CIRCUIT_EVENT, settings.localSwitch(), new CircuitWatcher());
     stack.userAgent().transactionLayer().offerOverloadControl();
   }
 
@@ -143,40 +158,40 @@
   /** A call, woken if it sleeps since the start; null if there is none. */
   Bridge bridge(String call) {
     Bridge bridge = bridges.get(call);
-    return bridge != null || legs == null ? bridge : legs.wake(call);
+    return bridge != null || savedLegs == null ? bridge : savedLegs.restore(call);
   }
 
-  void hold(String call, Bridge bridge) {
+  void addBridge(String call, Bridge bridge) {
     bridges.put(call, bridge);
   }
 
   /** Something of a call that stands has changed. */
-  void changed(String call) {
+  void callChanged(String call) {
     if (writeAhead != null && bridges.containsKey(call)) {
       writeAhead.callChanged(call);
     }
   }
 
   /** A BYE of a call is settled; with the last of them nothing of it is left at any end. */
-  void released(String call, Bridge bridge) {
-    if (writeAhead != null && !bridge.releasing()) {
+  void releaseCompleted(String call, Bridge bridge) {
+    if (writeAhead != null && !bridge.isReleasing()) {
       writeAhead.releaseCompleted(call);
     }
   }
 
   /** A caller called off; its answer leaves once that is kept. */
-  void callerLeaves(String call, Runnable answer) {
+  void callerCancelled(String call, Runnable sendAnswer) {
     if (writeAhead == null) {
-      answer.run();
+      sendAnswer.run();
     } else {
-      writeAhead.callerCancelled(call, answer);
+      writeAhead.callerCancelled(call, sendAnswer);
     }
   }
 
-  private Subscriber subscriber(String event, Hop at, Subscriber.Watcher watcher) {
-    String target = "sip:" + event + '@' + at.host() + ':' + at.port();
-    String self = "sip:controller@" + settings.domain();
-    return new Subscriber(stack.userAgent(), host, event, self, target, at, watcher);
+  private Subscriber newSubscriber(String event, Hop server, Subscriber.Watcher watcher) {
+    String target = "sip:" + event + '@' + server.host() + ':' + server.port();
+    String localUri = "sip:controller@" + settings.domain();
+    return new Subscriber(stack.userAgent(), host, event, localUri, target, server, watcher);
   }
 
   /** Begins: subscribes and starts the policy. */
@@ -186,12 +201,12 @@
       recovery.start();
     }
     controller.start();
-    circuits.subscribe();
+    circuitSubscriber.subscribe();
   }
 
   @Override
-  public void receive(Hop from, byte[] message, double arrived) {
-    stack.receive(from, message, arrived);
+  public void receive(Hop from, byte[] message, double arrivedAtMillis) {
+    stack.receive(from, message, arrivedAtMillis);
   }
 
   @Override
@@ -210,30 +225,30 @@
   }
 
   /** What was wrong with the last NOTIFY that could not be used; empty if none was. */
-  public String lastFeedError() {
-    return lastFeedError;
+  public String lastNotifyError() {
+    return lastNotifyError;
   }
 
   /** Calls with any leg left. */
   public int callCount() {
-    return bridges.size() + (legs == null ? 0 : legs.asleep());
+    return bridges.size() + (savedLegs == null ? 0 : savedLegs.deferredCallCount());
   }
 
   /**
    * Takes new settings for calls from now on: how classes are told apart, patience, margins and the
    * bound of calls. Places, timers and bounds of the stack stay as they were.
    */
-  public void reload(FrontSettings news) {
+  public void reload(FrontSettings newSettings) {
     settings =
         new FrontSettings(
             settings.domain(),
             settings.localSwitch(),
             settings.listServer(),
-            news.classes(),
-            news.patienceMillis(),
-            news.answerMarginMillis(),
-            news.maxCalls(),
-            news.retryAfterSeconds(),
+            newSettings.classes(),
+            newSettings.patienceMillis(),
+            newSettings.answerMarginMillis(),
+            newSettings.maxCalls(),
+            newSettings.retryAfterSeconds(),
             settings.timing(),
             settings.limits());
   }
@@ -241,18 +256,18 @@
   /** Takes nothing new and gives up its subscriptions; calls in flight go on. */
   public void drain() {
     controller.drain();
-    list.stop();
-    circuits.stop();
+    directorySubscriber.stop();
+    circuitSubscriber.stop();
   }
 
   /** Takes nothing new, answers each call in flight, and gives up its subscriptions. */
   public void shutDown() {
     controller.shutDown();
-    list.stop();
-    circuits.stop();
+    directorySubscriber.stop();
+    circuitSubscriber.stop();
   }
 
-  UserAgent agent() {
+  UserAgent userAgent() {
     return stack.userAgent();
   }
 
@@ -264,7 +279,7 @@
     return settings;
   }
 
-  Hop ownSwitch() {
+  Hop localSwitch() {
     return settings.localSwitch();
   }
 
@@ -275,12 +290,12 @@
     SipUri uri = SipUri.parse(leg.invite().uri());
     int destination = controller.directory().numberOfDomain(uri.host());
     boolean full = callCount() >= settings.maxCalls();
-    if (full || controller.directory().version() < 0 || mayBeOld(leg)) {
-      int wait = settings.retryAfterSeconds();
-      leg.reject(FinalResponses.unavailable(leg, ReasonField.CONGESTION, false, wait));
+    if (full || controller.directory().version() < 0 || mayPredateRestart(leg)) {
+      int retryAfterSeconds = settings.retryAfterSeconds();
+      leg.reject(FinalResponses.unavailable(leg, ReasonField.CONGESTION, false, retryAfterSeconds));
       return null;
     }
-    if (patience(leg) <= 0) {
+    if (remainingPatience(leg) <= 0) {
       // It waited here unread until its caller's time was up: no attempt may leave for it.
       leg.reject(leg.response(408));
       return null;
@@ -289,11 +304,11 @@
       leg.reject(leg.response(uri.user().isEmpty() ? 484 : 404));
       return null;
     }
-    sequence++;
-    String id = base + sequence;
-    taking = new Bridge(this, id, isFromOwnSwitch(leg), leg);
-    bridges.put(id, taking);
-    return taking.callerSide();
+    lastCallNumber++;
+    String id = callIdPrefix + lastCallNumber;
+    incomingBridge = new Bridge(this, id, isFromLocalSwitch(leg), leg);
+    bridges.put(id, incomingBridge);
+    return incomingBridge.callerListener();
   }
 
   /**
@@ -301,7 +316,7 @@
    * attempt is out: no attempt is made for such while one of before can come again. What comes by
    * TCP is new, as all connections were made since.
    */
-  private boolean mayBeOld(CallLeg leg) {
+  private boolean mayPredateRestart(CallLeg leg) {
     return recovery != null
         && recovery.newCallsMayPredateRestart()
         && leg.hop().transport() == Transport.UDP;
@@ -309,47 +324,49 @@
 
   @Override
   public void callAccepted(CallLeg leg) {
-    Bridge bridge = taking;
+    Bridge bridge = incomingBridge;
     SipRequest invite = leg.invite();
     SipUri uri = SipUri.parse(invite.uri());
     int type = settings.classes().classOf(invite, uri.user());
     int cause = ReasonField.of(invite).cause();
-    String id = base + sequence;
+    String id = callIdPrefix + lastCallNumber;
     Call call =
         new Call(
             id,
             type,
-            patience(leg),
+            remainingPatience(leg),
             controller.settings().classes().get(type).width(),
             uri.user(),
             controller.directory().numberOfDomain(uri.host()),
-            isFromOwnSwitch(leg),
-            ReasonField.saysSip(invite),
+            isFromLocalSwitch(leg),
+            ReasonField.hasSipCause(invite),
             cause == ReasonField.TEMPORARY_FAILURE);
     controller.callArrived(call);
-    if (bridge.over()) {
+    if (bridge.hasEnded()) {
       bridges.remove(id);
     }
   }
 
   /** What is left of the caller's time: it waited here unread, and the answer has a way to go. */
-  private double patience(CallLeg leg) {
-    String written = leg.invite().header("Expires");
-    double whole = written == null ? settings.patienceMillis() : 1000.0 * Long.parseLong(written);
-    return Math.max(0, whole - leg.millisSinceInvite(host.now()) - settings.answerMarginMillis());
+  private double remainingPatience(CallLeg leg) {
+    String expires = leg.invite().header("Expires");
+    double patienceMillis =
+        expires == null ? settings.patienceMillis() : 1000.0 * Long.parseLong(expires);
+    return Math.max(
+        0, patienceMillis - leg.millisSinceInvite(host.now()) - settings.answerMarginMillis());
   }
 
   /** A call that the own switch hands over came from another exchange: it is in transit. */
-  private boolean isFromOwnSwitch(CallLeg leg) {
+  private boolean isFromLocalSwitch(CallLeg leg) {
     Via via = leg.invite().via();
-    Hop own = settings.localSwitch();
-    return via.host().equals(own.host()) && via.portOrDefault() == own.port();
+    Hop localSwitch = settings.localSwitch();
+    return via.host().equals(localSwitch.host()) && via.portOrDefault() == localSwitch.port();
   }
 
   /** Forgets a call once nothing is left of it. */
-  void tidy(String id) {
+  void removeIfEnded(String id) {
     Bridge bridge = bridges.get(id);
-    if (bridge != null && bridge.over()) {
+    if (bridge != null && bridge.hasEnded()) {
       bridges.remove(id);
     }
   }
@@ -358,55 +375,56 @@
 
   @Override
   public Scheduler scheduler() {
-    return clock;
+    return scheduler;
   }
 
   @Override
-  public void startAttempt(AttemptRequest order) {
-    Bridge bridge = bridge(order.call());
-    if (!bridge.ready(order.attempt())) {
-      prepare(order);
+  public void startAttempt(AttemptRequest request) {
+    Bridge bridge = bridge(request.call());
+    if (!bridge.isPrepared(request.attempt())) {
+      prepareAttempt(request);
     }
-    bridge.launch();
+    bridge.sendInvite();
   }
 
   /** Makes an attempt ready without sending it. */
-  Bridge prepare(AttemptRequest order) {
-    Bridge bridge = bridge(order.call());
-    bridge.prepare(order, attemptInvite(order, bridge.caller().invite()));
+  Bridge prepareAttempt(AttemptRequest request) {
+    Bridge bridge = bridge(request.call());
+    bridge.prepare(request, attemptInvite(request, bridge.callerLeg().invite()));
     return bridge;
   }
 
-  private SipRequest attemptInvite(AttemptRequest order, SipRequest came) {
+  private SipRequest attemptInvite(AttemptRequest request, SipRequest callerInvite) {
     String domain =
-        order.destination() == null
-            ? SipUri.parse(came.uri()).host()
-            : order.destination().domain();
-    String uri = "sip:" + order.number() + '@' + domain;
+        request.destination() == null
+            ? SipUri.parse(callerInvite.uri()).host()
+            : request.destination().domain();
+    String uri = "sip:" + request.number() + '@' + domain;
     SipRequest invite = new SipRequest("INVITE", uri);
-    Hop own = settings.localSwitch();
-    invite.add("Max-Forwards", Long.toString(came.numericHeader("Max-Forwards", 70) - 1));
-    invite.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
-    if (order.viaTandem()) {
-      invite.add("Route", '<' + order.nextExchange().address() + ";lr>");
+    Hop localSwitch = settings.localSwitch();
+    invite.add("Max-Forwards", Long.toString(callerInvite.numericHeader("Max-Forwards", 70) - 1));
+    invite.add("Route", "<sip:" + localSwitch.host() + ':' + localSwitch.port() + ";lr>");
+    if (request.viaTandem()) {
+      invite.add("Route", '<' + request.nextExchange().address() + ";lr>");
     }
-    invite.add("From", '<' + NameAddr.parse(came.header("From")).uri() + '>');
+    invite.add("From", '<' + NameAddr.parse(callerInvite.header("From")).uri() + '>');
     invite.add("To", '<' + uri + '>');
-    int seconds = (int) Math.max(1, Math.ceil(order.timeoutMillis() / 1000));
-    invite.add("Expires", Integer.toString(seconds));
-    EndToEndHeaders.copy(came, invite);
-    addHistory(order, came, invite);
+    int expiresSeconds = (int) Math.max(1, Math.ceil(request.timeoutMillis() / 1000));
+    invite.add("Expires", Integer.toString(expiresSeconds));
+    EndToEndHeaders.copy(callerInvite, invite);
+    addHistory(request, callerInvite, invite);
     return invite;
   }
 
   /** Tells the way taken, where the caller wants to know it (RFC 7044). */
-  private static void addHistory(AttemptRequest order, SipRequest came, SipRequest invite) {
-    List<String> history = came.headers("History-Info");
+  private static void addHistory(
+      AttemptRequest request, SipRequest callerInvite, SipRequest invite) {
+    List<String> history = callerInvite.headers("History-Info");
     if (!history.isEmpty()) {
-      String last = history.get(history.size() - 1);
-      String index = Params.parse(last.substring(last.indexOf('>') + 1)).get("index");
-      String to = "<sip:" + order.number() + '@' + order.nextExchange().domain() + '>';
-      invite.add("History-Info", to + ";index=" + index + '.' + (order.attempt() + 1));
+      String lastEntry = history.get(history.size() - 1);
+      String index = Params.parse(lastEntry.substring(lastEntry.indexOf('>') + 1)).get("index");
+      String target = "<sip:" + request.number() + '@' + request.nextExchange().domain() + '>';
+      invite.add("History-Info", target + ";index=" + index + '.' + (request.attempt() + 1));
     }
   }
 
@@ -426,23 +444,23 @@
   @Override
   public void answer(String call, FinalAnswer answer) {
     bridge(call).answer(answer);
-    tidy(call);
+    removeIfEnded(call);
   }
 
   @Override
-  public void releaseCaller(String call, boolean cut) {
-    bridge(call).releaseCaller(cut);
+  public void releaseCaller(String call, boolean disconnected) {
+    bridge(call).releaseCaller(disconnected);
   }
 
   @Override
-  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
-    SipRequest options = request("OPTIONS", exchange.address());
+  public void probe(ExchangeDirectory.Entry exchange, double sentAt) {
+    SipRequest options = newRequest("OPTIONS", exchange.address());
     options.add("Accept", "application/json");
     Hop hop = SipUri.parse(exchange.address()).hop();
-    agent().sendOutsideDialog(options, hop, new ProbeAnswers(exchange.id(), askedAt));
+    userAgent().sendOutsideDialog(options, hop, new ProbeListener(exchange.id(), sentAt));
   }
 
-  private SipRequest request(String method, String uri) {
+  private SipRequest newRequest(String method, String uri) {
     SipRequest request = new SipRequest(method, uri);
     request.add("From", "<sip:controller@" + settings.domain() + '>');
     request.add("To", '<' + uri + '>');
@@ -450,13 +468,13 @@
   }
 
   /** Hears the answer to one probe. */
-  private final class ProbeAnswers implements ClientTransaction.Listener {
+  private final class ProbeListener implements ClientTransaction.Listener {
     private final String exchange;
-    private final double askedAt;
+    private final double sentAt;
 
-    ProbeAnswers(String exchange, double askedAt) {
+    ProbeListener(String exchange, double sentAt) {
       this.exchange = exchange;
-      this.askedAt = askedAt;
+      this.sentAt = sentAt;
     }
 
     @Override
@@ -466,13 +484,13 @@
         if (report != null) {
           controller.overloadReported(exchange, report);
         }
-        controller.probeCompleted(exchange, response.isSuccess(), askedAt);
+        controller.probeCompleted(exchange, response.isSuccess(), sentAt);
       }
     }
 
     @Override
     public void failed(Failure failure) {
-      controller.probeCompleted(exchange, false, askedAt);
+      controller.probeCompleted(exchange, false, sentAt);
     }
   }
 
@@ -480,22 +498,22 @@
   public void broadcast(byte[] payload) {
     for (ExchangeDirectory.Entry entry : controller.directory().entries()) {
       if (entry.number() != controller.settings().localExchange()) {
-        SipRequest message = request("MESSAGE", "sip:controller@" + entry.domain());
-        Hop own = settings.localSwitch();
-        message.add("Route", "<sip:" + own.host() + ':' + own.port() + ";lr>");
+        SipRequest message = newRequest("MESSAGE", "sip:controller@" + entry.domain());
+        Hop localSwitch = settings.localSwitch();
+        message.add("Route", "<sip:" + localSwitch.host() + ':' + localSwitch.port() + ";lr>");
         message.set(
             "From",
             "<sip:" + controller.settings().localExchange() + '@' + settings.domain() + '>');
         message.set("Content-Type", "application/octet-stream");
         message.body(payload);
-        agent().sendOutsideDialog(message, own, ClientTransaction.Listener.IGNORE);
+        userAgent().sendOutsideDialog(message, localSwitch, ClientTransaction.Listener.IGNORE);
       }
     }
   }
 
   @Override
   public void subscribeToDirectory() {
-    list.subscribe();
+    directorySubscriber.subscribe();
   }
 
   // ---- Requests outside of calls ------------------------------------------------------------
@@ -504,18 +522,18 @@
   public void request(ServerTransaction transaction, SipRequest request) {
     switch (request.method()) {
       case "NOTIFY" -> {
-        if (!list.receiveNotify(transaction, request)
-            && !circuits.receiveNotify(transaction, request)) {
+        if (!directorySubscriber.receiveNotify(transaction, request)
+            && !circuitSubscriber.receiveNotify(transaction, request)) {
           transaction.respond(request.response(481));
         }
       }
-      case "OPTIONS" -> transaction.respond(abilities(request));
-      case "MESSAGE" -> peerMessage(transaction, request);
+      case "OPTIONS" -> transaction.respond(optionsResponse(request));
+      case "MESSAGE" -> receivePeerMessage(transaction, request);
       default -> transaction.respond(request.response(489));
     }
   }
 
-  private static SipResponse abilities(SipRequest request) {
+  private static SipResponse optionsResponse(SipRequest request) {
     SipResponse response = request.response(200);
     response.add("Allow", UserAgent.ALLOW);
     response.add("Accept", "application/sdp");
@@ -523,7 +541,7 @@
     return response;
   }
 
-  private void peerMessage(ServerTransaction transaction, SipRequest request) {
+  private void receivePeerMessage(ServerTransaction transaction, SipRequest request) {
     SipUri from = SipUri.parse(request.addressHeader("From").uri());
     boolean known = from != null && from.user().matches("[0-9]{1,9}");
     transaction.respond(request.response(known ? 200 : 403));
@@ -533,30 +551,31 @@
   }
 
   /** Load figures of the own switch ride on each of its answers. */
-  void learnLoad(SipResponse response) {
+  void reportLocalLoad(SipResponse response) {
     LoadReports.Report report = OverloadReport.of(response, host.now());
-    ExchangeDirectory.Entry own =
+    ExchangeDirectory.Entry localExchange =
         controller.directory().byNumber(controller.settings().localExchange());
-    if (report != null && own != null) {
-      controller.overloadReported(own.id(), report);
+    if (report != null && localExchange != null) {
+      controller.overloadReported(localExchange.id(), report);
     }
   }
 
   /** Hears of the exchange list. */
-  private final class ListWatcher implements Subscriber.Watcher {
+  private final class DirectoryWatcher implements Subscriber.Watcher {
     @Override
     public void notified(SipRequest notify) {
       try {
-        if (controller.updateDirectory(FeedBodies.list(notify.bodyText(), host.now()))) {
-          list.subscribe();
+        if (controller.updateDirectory(
+            NotifyBodies.parseDirectoryUpdate(notify.bodyText(), host.now()))) {
+          directorySubscriber.subscribe();
         }
-      } catch (FeedBodies.BadBody e) {
-        lastFeedError = LIST_EVENT + ": " + e.getMessage();
+      } catch (NotifyBodies.MalformedBodyException e) {
+        lastNotifyError = LIST_EVENT + ": " + e.getMessage();
       }
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(String reason) {
       controller.directoryUnavailable();
     }
   }
@@ -566,21 +585,22 @@
     @Override
     public void notified(SipRequest notify) {
       try {
-        FeedBodies.CircuitNews news = FeedBodies.circuits(notify.bodyText());
-        if (!news.epoch().equals(circuitEpoch)) {
-          circuitEpoch = news.epoch();
+        NotifyBodies.CircuitReport report = NotifyBodies.parseCircuitReport(notify.bodyText());
+        if (!report.epoch().equals(circuitEpoch)) {
+          circuitEpoch = report.epoch();
           controller.circuitGroups().clear();
         }
-        for (FeedBodies.Circuits group : news.groups()) {
-          controller.circuitsReported(group.toward(), group.free(), group.size(), news.version());
+        for (NotifyBodies.CircuitGroup group : report.groups()) {
+          controller.circuitsReported(
+              group.remoteExchange(), group.free(), group.size(), report.version());
         }
-      } catch (FeedBodies.BadBody e) {
-        lastFeedError = CIRCUIT_EVENT + ": " + e.getMessage();
+      } catch (NotifyBodies.MalformedBodyException e) {
+        lastNotifyError = CIRCUIT_EVENT + ": " + e.getMessage();
       }
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(String reason) {
       // The figures held stay the last that are known; the subscriber asks again by itself.
     }
   }
