--- a/sipfront/src/main/java/coveladder/sipfront/AttemptOutcome.java
+++ b/sipfront/src/main/java/coveladder/sipfront/AttemptOutcome.java
@@ -8,22 +8,23 @@
 import java.util.Set;
 
 /**
- * The module's word for how an attempt ended on the wire.
+ * The end of an attempt in the policy's terms, derived from a response, a failure or a BYE.
  *
- * @param outcome how it ended
+ * @param outcome how the attempt ended
  * @param reason why it was not set up
- * @param retryAfterMillis time that a full processor asks for, ms
+ * @param retryAfterMillis time that a full processor asks its senders to wait, ms; 0: no request
  */
 record AttemptOutcome(Outcome outcome, Reason reason, double retryAfterMillis) {
+  /** Final statuses after which another route may still succeed. */
   private static final Set<Integer> REROUTABLE_STATUSES =
       Set.of(408, 480, 482, 483, 486, 487, 491, 500, 502, 503, 504, 600);
 
-  /** Whether the callee itself decided, so that no other route would help. */
+  /** Whether the callee itself rejected the call, so that no other route would succeed. */
   static boolean isConclusive(SipResponse response) {
     return !REROUTABLE_STATUSES.contains(response.status());
   }
 
-  /** Reads a final answer other than 2xx. */
+  /** The outcome of a final response other than 2xx. */
   static AttemptOutcome of(SipResponse response) {
     ReasonField reason = ReasonField.of(response);
     return switch (response.status()) {
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Reads a failure of the way to the own switch: without a connection nothing was sent, and it is
-   * the own processor that is down.
+   * The outcome of a failure to reach the local switch. If the connection was refused, nothing was
+   * sent, and the local processor is down.
    */
   static AttemptOutcome of(Failure failure) {
     return switch (failure) {
@@ -63,7 +64,11 @@
     };
   }
 
-  /** Reads the end of a call that stood; null where the far end fell silent. */
+  /**
+   * The outcome of an established call that has ended.
+   *
+   * @param bye the remote BYE; null if the remote end stopped responding
+   */
   static AttemptOutcome ofBye(SipRequest bye) {
     int cause = bye == null ? ReasonField.TEMPORARY_FAILURE : ReasonField.of(bye).cause();
     boolean normal = cause == 0 || cause == ReasonField.NORMAL_CLEARING;
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * One call of the back-to-back user agent (RFC 7092): the caller's leg, the leg of the attempt that
- * is out or stands, and what passes between them.
+ * One call of the back-to-back user agent (RFC 7092): the caller's leg, the leg of the current
+ * attempt, which is outstanding or established, and the relay of messages between the two.
  */
 final class Bridge {
   private static final int MAX_RELIABLE_RESPONSES = 64;
@@ -28,14 +28,24 @@
   private final String id;
   private final boolean transit;
   private CallLeg callerLeg;
+
+  /** Reliable provisional responses, by their RSeq on the caller's leg minus 1. */
   private final List<RelayedProvisional> reliableResponses = new ArrayList<>(0);
+
   private CallLeg attemptLeg;
   private int currentAttempt = -1;
+
+  /** The callee's final response until it is passed on; null if there is none. */
   private SipResponse calleeAnswer;
+
+  /** Whether the callee's 2xx has the offer, so that its ACK must have the caller's SDP answer. */
   private boolean awaitsCallerAck;
+
   private boolean inviteSent;
   private SipResponse preparedAnswer;
   private SipHost.Timer sessionTimer;
+
+  /** Session interval (RFC 4028), ms; 0: the session does not expire. */
   private double sessionIntervalMillis;
 
   Bridge(SipFront front, String id, boolean transit, CallLeg callerLeg) {
@@ -45,7 +55,13 @@
     this.callerLeg = callerLeg;
   }
 
-  /** A reliable provisional answer as it was told to the caller (RFC 3262). */
+  /**
+   * A reliable provisional response of an attempt that was relayed to the caller (RFC 3262).
+   *
+   * @param attempt number of the attempt
+   * @param rseq RSeq on the attempt's leg
+   * @param cseq CSeq number of the attempt's INVITE
+   */
   private record RelayedProvisional(int attempt, long rseq, long cseq) {}
 
   CallListener callerListener() {
@@ -58,7 +74,7 @@
 
   // ---- Attempts -----------------------------------------------------------------------------
 
-  /** Makes an attempt ready without sending it. */
+  /** Prepares an attempt without sending it. */
   void prepare(AttemptRequest request, SipRequest invite) {
     currentAttempt = request.attempt();
     calleeAnswer = null;
@@ -67,7 +83,7 @@
     attemptLeg = front.userAgent().prepare(invite, front.localSwitch(), listener);
   }
 
-  /** Whether this attempt was made ready and has not left. */
+  /** Whether this attempt was prepared and not sent yet. */
   boolean isPrepared(int attempt) {
     return currentAttempt == attempt && attemptLeg != null && !inviteSent;
   }
@@ -78,8 +94,11 @@
   }
 
   /**
-   * Takes legs that stood before a restart. A session that had a time gets all of it again: how
-   * much had passed is not kept, so one whose ends are gone is released that much later at most.
+   * Resumes a call that was established before a restart. Its session timer starts anew with the
+   * whole interval, because the elapsed time is not stored: a call whose ends are both gone is
+   * released later by at most one interval.
+   *
+   * @param intervalSeconds the session interval, s; 0: the session does not expire
    */
   void resume(CallLeg restoredCaller, CallLeg restoredAttempt, int attempt, long intervalSeconds) {
     callerLeg = restoredCaller;
@@ -90,7 +109,7 @@
     restartSessionTimer();
   }
 
-  /** Time that the session lasts without a refresh, s; 0: for ever. */
+  /** Session interval (RFC 4028), s; 0: the session does not expire. */
   long sessionIntervalSeconds() {
     return Math.round(sessionIntervalMillis / 1000);
   }
@@ -115,7 +134,7 @@
     }
   }
 
-  /** Hears of one attempt. */
+  /** Receives the events of one attempt's leg. */
   private final class AttemptListener implements CallListener {
     private final int attempt;
 
@@ -197,7 +216,7 @@
 
   // ---- The caller ---------------------------------------------------------------------------
 
-  /** Hears of the caller. */
+  /** Receives the events of the caller's leg. */
   private final class CallerListener implements CallListener {
     @Override
     public void cancelRequested(CallLeg leg, Runnable sendResponse) {
@@ -243,7 +262,7 @@
     }
   }
 
-  /** Makes the caller's final answer ready without sending it. */
+  /** Prepares the caller's final answer without sending it. */
   SipResponse prepare(FinalAnswer finalAnswer) {
     if (preparedAnswer == null) {
       switch (finalAnswer.kind()) {
@@ -258,12 +277,12 @@
     return preparedAnswer;
   }
 
-  /** The final answer that was made ready; null before. */
+  /** The prepared final answer; null if none is prepared. */
   SipResponse preparedAnswer() {
     return preparedAnswer;
   }
 
-  /** The callee's answer that the call stands by. */
+  /** The callee's final response; null if there is none or it was passed on. */
   SipResponse calleeAnswer() {
     return calleeAnswer;
   }
@@ -273,9 +292,9 @@
   }
 
   /**
-   * Gives the caller its one final answer. The callee's 2xx is acknowledged only now that the call
-   * is kept: one that was not would be called off after a crash, and a callee that had its ACK
-   * would not hear of that.
+   * Sends the caller its one final answer. The callee's 2xx is acknowledged only now, when the call
+   * is stored: after a crash, recovery cancels an attempt whose answer was not stored, and a callee
+   * that has received its ACK would not learn of that.
    */
   void answer(FinalAnswer finalAnswer) {
     SipResponse response = prepare(finalAnswer);
@@ -297,12 +316,12 @@
     callerLeg.bye(ReasonField.format(cause, false));
   }
 
-  /** Whether a BYE of either leg is out and not answered. */
+  /** Whether a BYE was sent on either leg and is not answered yet. */
   boolean isReleasing() {
     return attemptLeg != null && attemptLeg.isReleasing() || callerLeg.isReleasing();
   }
 
-  /** Whether nothing is left to do for the call. */
+  /** Whether both legs have ended; cancels the session timer if so. */
   boolean hasEnded() {
     boolean attemptEnded =
         attemptLeg == null || !inviteSent || attemptLeg.state() == CallLeg.State.ENDED;
@@ -325,7 +344,10 @@
     callerLeg.progress(relayed);
   }
 
-  /** Numbers of reliable answers grow by one on the caller's leg, whichever attempt they are of. */
+  /**
+   * RSeq on the caller's leg of a reliable provisional response. It grows by one with each new
+   * response, whichever attempt that belongs to; 0 if there were too many responses.
+   */
   private int callerRseq(int attempt, long rseq, SipResponse response) {
     RelayedProvisional provisional =
         new RelayedProvisional(attempt, rseq, response.cseq().number());
@@ -350,6 +372,7 @@
     }
   }
 
+  /** Index in the list of reliable provisional responses; -1 if there is none. */
   private int indexOfCallerRseq(String callerRseq) {
     int index = Integer.parseInt(callerRseq) - 1;
     return index < reliableResponses.size() ? index : -1;
@@ -370,8 +393,9 @@
   }
 
   /**
-   * Ends a call whose session timer ran out unrefreshed (RFC 4028 section 10): both ends have then
-   * gone without a word, and its circuits must not stay held.
+   * Restarts the session timer with the interval of a response, if it has one. A call whose session
+   * is not refreshed in time is released (RFC 4028 section 10): both ends are then gone without a
+   * BYE, and its circuits must not stay seized.
    */
   private void restartSessionTimer(SipMessage message) {
     double intervalSeconds = message.numericHeader("Session-Expires", 0);
@@ -390,7 +414,7 @@
     }
   }
 
-  /** Ends the call as its session ran out. */
+  /** Releases the call because its session expired. */
   void sessionExpired() {
     if (callerLeg.state() != CallLeg.State.ENDED) {
       releaseCaller(true);
--- a/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
@@ -5,26 +5,27 @@
 import java.util.Locale;
 
 /**
- * Which class a call is of: by Resource-Priority (RFC 4412) first, by the longest fitting prefix of
- * the number called next; a default class makes any plain telephone work.
+ * Determines the class of a call: first by Resource-Priority (RFC 4412), then by the longest
+ * matching prefix of the called number, otherwise the default class, so that a plain telephone can
+ * call as well.
  *
- * @param names name of each class, in the order of their numbers
- * @param priorities resource value of each class, such as {@code cove.2}; empty: none
- * @param prefixes prefixes of numbers with the number of their class
+ * @param names name of each class, by class number
+ * @param priorities Resource-Priority value of each class, such as {@code cove.2}; empty: none
+ * @param prefixes prefixes of called numbers and their classes
  * @param defaultClass number of the default class
  */
 public record ClassTable(
     List<String> names, List<String> priorities, List<Prefix> prefixes, int defaultClass) {
 
   /**
-   * One prefix.
+   * A prefix of called numbers.
    *
-   * @param digits what the number begins with
+   * @param digits the leading digits
    * @param type number of the class
    */
   public record Prefix(String digits, int type) {}
 
-  /** Checks and copies. */
+  /** Checks the default class and copies the lists. */
   public ClassTable {
     names = List.copyOf(names);
     priorities = List.copyOf(priorities);
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Number of the class of a call to this number. */
+  /** The class number of a call to this number. */
   public int classOf(SipRequest invite, String number) {
     for (String value : invite.headers("Resource-Priority")) {
       int type = priorities.indexOf(value.trim().toLowerCase(Locale.ROOT));
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -5,13 +5,13 @@
 import coveladder.sip.CallLeg;
 import coveladder.sip.SipResponse;
 
-/** Final answers other than 2xx as the caller gets them. */
+/** Builds the caller's final responses other than 2xx. */
 final class FinalResponses {
   private FinalResponses() {}
 
   /**
-   * Makes the response. A call in transit is turned back: the controller that sent it here tells by
-   * the location that a tandem did so.
+   * Builds the response to a final answer. A call in transit is cranked back: by the location in
+   * Reason, the controller that sent it here learns that a tandem refused it.
    */
   static SipResponse of(
       CallLeg caller, FinalAnswer answer, boolean transit, FrontSettings settings) {
@@ -30,7 +30,13 @@
     return caller.response(answer.reason() == Reason.NONE ? 408 : 480);
   }
 
-  /** A 503 with its cause; {@code seconds} is when to come back, 0 for no word on it. */
+  /**
+   * Builds a 503 with its cause.
+   *
+   * @param cause the Q.850 cause
+   * @param transit whether the call was in transit here
+   * @param retryAfterSeconds value of Retry-After, s; 0: the field is left out
+   */
   static SipResponse unavailable(
       CallLeg caller, int cause, boolean transit, int retryAfterSeconds) {
     SipResponse response = caller.response(503);
--- a/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
@@ -5,18 +5,18 @@
 import coveladder.sip.Timing;
 
 /**
- * What the SIP front of one controller is told at start.
+ * The settings of one controller's SIP front end.
  *
- * @param domain own domain, the host part of URIs of own numbers
- * @param localSwitch where the own switch takes signalling
- * @param listServer where the exchange list is had by SUBSCRIBE
- * @param classes how calls are told apart
+ * @param domain the controller's domain, the host part of URIs of its numbers
+ * @param localSwitch signalling address of the local switch
+ * @param listServer address of the server of the exchange directory
+ * @param classes determines the class of a call
  * @param patienceMillis patience of a caller whose INVITE has no Expires, ms
- * @param answerMarginMillis time kept for a final answer on its way to the caller, ms
- * @param maxCalls most calls held at a time; more are answered 503
- * @param retryAfterSeconds seconds that callers are told at shutdown and at the bound of calls
- * @param timing timer values
- * @param limits bounds of the stack
+ * @param answerMarginMillis time reserved for a final answer to reach the caller, ms
+ * @param maxCalls maximum number of simultaneous calls; more are answered with 503
+ * @param retryAfterSeconds Retry-After at shutdown and at the maximum number of calls, s
+ * @param timing timer values of the SIP stack
+ * @param limits limits of the SIP stack
  */
 public record FrontSettings(
     String domain,
@@ -30,7 +30,7 @@
     Timing timing,
     SipStack.Limits limits) {
 
-  /** Checks the figures. */
+  /** Checks that the values are in range. */
   public FrontSettings {
     require(!domain.isEmpty(), "domain", domain);
     require(patienceMillis > 0, "patience", patienceMillis);
--- a/sipfront/src/main/java/coveladder/sipfront/HostScheduler.java
+++ b/sipfront/src/main/java/coveladder/sipfront/HostScheduler.java
@@ -3,7 +3,7 @@
 import coveladder.core.Scheduler;
 import coveladder.sip.SipHost;
 
-/** The world's clock as the core wants it. */
+/** Adapts the clock and timers of the SIP host to the core. */
 final class HostScheduler implements Scheduler {
   private final SipHost host;
 
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -16,19 +16,19 @@
 import java.io.UncheckedIOException;
 
 /**
- * A leg as octets: where it goes, its INVITE and the answer to it as they were on the wire, and
- * what has changed in the dialog since.
+ * The stored form of a call leg: its remote address, its INVITE and the final answer as they were
+ * on the wire, and the present state of the dialog. The encoding is binary, without a version; the
+ * order and types of its fields are fixed.
  *
- * @param hop the other side
+ * @param hop address of the remote side
  * @param callId Call-ID
- * @param localTag own tag
- * @param remoteTag the other side's tag; empty before there is one
- * @param acknowledged whether the answer's ACK has passed
- * @param progress what has changed in the dialog; null before there is one
- * @param sessionIntervalSeconds time that the session lasts without a refresh, s; 0: for ever (RFC
- *     4028)
- * @param invite the INVITE
- * @param answer the final answer; empty before there is one
+ * @param localTag local tag
+ * @param remoteTag remote tag; empty before there is one
+ * @param acknowledged whether the answer was acknowledged
+ * @param progress state of the dialog; null before there is one
+ * @param sessionIntervalSeconds session interval (RFC 4028), s; 0: the session does not expire
+ * @param invite the INVITE as sent or received
+ * @param answer the final answer as sent or received; empty before there is one
  */
 record LegRecord(
     Hop hop,
@@ -74,7 +74,7 @@
     return decode(octets, true);
   }
 
-  /** Reads all but the messages, which are the most of it. */
+  /** Decodes all fields but the two messages, which are the largest part of a record. */
   static LegRecord decodeHead(byte[] octets) {
     return decode(octets, false);
   }
@@ -104,10 +104,11 @@
           invite,
           answer);
     } catch (IOException e) {
-      throw new IllegalArgumentException("a kept leg is cut short", e);
+      throw new IllegalArgumentException("stored leg is truncated", e);
     }
   }
 
+  /** A copy with a new state of the dialog. */
   LegRecord withDialogState(
       boolean newAcknowledged, Dialog.Progress newProgress, long newIntervalSeconds) {
     return new LegRecord(
@@ -122,7 +123,7 @@
         answer);
   }
 
-  /** Key of its dialog. */
+  /** Key of the leg's dialog. */
   String dialogKey() {
     return Dialog.key(callId, localTag, remoteTag);
   }
@@ -139,7 +140,7 @@
     try {
       return new SipParser(MAX_HEADERS).parse(octets);
     } catch (SipParseException e) {
-      throw new IllegalArgumentException("a kept message is no message: " + e.getMessage(), e);
+      throw new IllegalArgumentException("stored message is malformed: " + e.getMessage(), e);
     }
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
+++ b/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
@@ -8,13 +8,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The JSON bodies of the event packages {@code exchange-list} and {@code circuit-groups}. */
+/**
+ * Parses the JSON bodies of the event packages {@code exchange-list} and {@code circuit-groups}.
+ */
 final class NotifyBodies {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private NotifyBodies() {}
 
-  /** A body that is not what its package says; the message tells where and what was expected. */
+  /**
+   * A body does not conform to its event package; the message names the place and what is wrong.
+   */
   static final class MalformedBodyException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -24,23 +28,28 @@
   }
 
   /**
-   * Circuits of one group.
+   * The state of one circuit group.
    *
-   * @param remoteExchange number of the exchange at the other end
-   * @param free free circuits
-   * @param size circuits in all
+   * @param remoteExchange number of the exchange at the remote end
+   * @param free number of free circuits
+   * @param size number of all circuits
    */
   record CircuitGroup(int remoteExchange, int free, int size) {}
 
   /**
    * One report of the switch.
    *
-   * @param epoch names one life of the switch; versions count within it
+   * @param epoch identifies one run of the switch; versions count within it
    * @param version version of this report
-   * @param groups the groups told
+   * @param groups the reported circuit groups
    */
   record CircuitReport(String epoch, long version, List<CircuitGroup> groups) {}
 
+  /**
+   * Parses a body of {@code exchange-list}.
+   *
+   * @param now the clock, ms, from which the start times of exchanges are computed
+   */
   static ExchangeDirectory.Update parseDirectoryUpdate(String body, double now)
       throws MalformedBodyException {
     JsonNode root = parseObject(body);
@@ -79,6 +88,7 @@
     };
   }
 
+  /** Parses a body of {@code circuit-groups}. */
   static CircuitReport parseCircuitReport(String body) throws MalformedBodyException {
     JsonNode root = parseObject(body);
     List<CircuitGroup> groups = new ArrayList<>();
@@ -98,18 +108,18 @@
     try {
       JsonNode root = MAPPER.readTree(body);
       if (root == null || !root.isObject()) {
-        throw new MalformedBodyException("body is no JSON object");
+        throw new MalformedBodyException("body is not a JSON object");
       }
       return root;
     } catch (JsonProcessingException e) {
-      throw new MalformedBodyException("body is no JSON: " + e.getOriginalMessage());
+      throw new MalformedBodyException("body is not JSON: " + e.getOriginalMessage());
     }
   }
 
   private static JsonNode requireArray(JsonNode root, String name) throws MalformedBodyException {
     JsonNode node = requireField(root, "", name);
     if (!node.isArray()) {
-      throw new MalformedBodyException(name + " is no array");
+      throw new MalformedBodyException(name + " is not an array");
     }
     return node;
   }
@@ -127,7 +137,7 @@
       throws MalformedBodyException {
     JsonNode value = requireField(node, path, name);
     if (!value.canConvertToLong() || !value.isIntegralNumber()) {
-      throw new MalformedBodyException(path + name + " is no whole number");
+      throw new MalformedBodyException(path + name + " is not an integer");
     }
     return value.asLong();
   }
--- a/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
+++ b/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
@@ -6,13 +6,18 @@
 import coveladder.sip.Via;
 
 /**
- * Overload control as a response's topmost Via tells it: by loss (RFC 7339, {@code oc} a share in
- * hundredths) or by rate (RFC 7415, {@code oc} set-ups a second).
+ * Reads overload control parameters from a response's topmost Via: loss-based (RFC 7339, {@code oc}
+ * in percent) or rate-based (RFC 7415, {@code oc} in set-ups per second).
  */
 final class OverloadReport {
   private OverloadReport() {}
 
-  /** The report; null where the response has none. */
+  /**
+   * The load report of a response; null if it has none. Without {@code oc-validity} the report is
+   * valid for 500 ms (RFC 7339).
+   *
+   * @param now the clock, ms
+   */
   static Report of(SipResponse response, double now) {
     Via via = response.via();
     Params params = via.params();
@@ -37,6 +42,7 @@
     return text == null ? "" : text.replace("\"", "");
   }
 
+  /** A number that is not negative and below 1e15; NaN if the text is no such number. */
   private static double parseNumber(String text) {
     try {
       double value = text == null || text.isEmpty() ? Double.NaN : Double.parseDouble(text);
--- a/sipfront/src/main/java/coveladder/sipfront/PersistingObserver.java
+++ b/sipfront/src/main/java/coveladder/sipfront/PersistingObserver.java
@@ -10,7 +10,10 @@
 import coveladder.core.recovery.RecoveryRate;
 import coveladder.core.recovery.WriteAheadSignalling;
 
-/** Passes each step on, and lets what is kept of a call go with it. */
+/**
+ * Passes each event of a call on to another observer, removes the stored record of a call that was
+ * removed, and slows recovery down when the local processor rejects a set-up.
+ */
 final class PersistingObserver implements CallController.Observer {
   private final CallController.Observer delegate;
   private final WriteAheadSignalling writeAhead;
--- a/sipfront/src/main/java/coveladder/sipfront/ReasonField.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ReasonField.java
@@ -4,10 +4,10 @@
 import coveladder.sip.SipMessage;
 
 /**
- * A Reason value of protocol Q.850 (RFC 3326), with the place that gave it (RFC 8606).
+ * A value of the Reason header field with protocol Q.850 (RFC 3326) and its location (RFC 8606).
  *
- * @param cause the cause, 0 where none is told
- * @param fromTransit whether a transit network gave it, that is a tandem
+ * @param cause the Q.850 cause; 0 if there is none
+ * @param fromTransit whether the location is a transit network (TN), that is a tandem
  */
 record ReasonField(int cause, boolean fromTransit) {
   static final int NORMAL_CLEARING = 16;
@@ -15,7 +15,7 @@
   static final int NO_CIRCUIT = 34;
   static final int CONGESTION = 42;
 
-  /** The first Q.850 reason of a message. */
+  /** The first Q.850 reason of a message; cause 0 if it has none. */
   static ReasonField of(SipMessage message) {
     for (String value : message.headers("Reason")) {
       int semicolon = value.indexOf(';');
@@ -28,7 +28,10 @@
     return new ReasonField(0, false);
   }
 
-  /** Whether a message gives this cause in SIP's own terms, as a redial does with its last one. */
+  /**
+   * Whether a message has a Reason with protocol SIP. A redialled call gives the status of its
+   * previous try in this way.
+   */
   static boolean hasSipCause(SipMessage message) {
     return message.headers("Reason").stream().anyMatch(value -> value.startsWith("SIP"));
   }
@@ -41,7 +44,7 @@
     }
   }
 
-  /** The value as written. */
+  /** The value of the header field. */
   static String format(int cause, boolean fromTransit) {
     return "Q.850;cause=" + cause + (fromTransit ? ";location=TN" : "");
   }
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -20,16 +20,27 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Legs of SIP calls as they are kept, and made again after a restart. */
+/**
+ * Encodes the legs of SIP calls for the store and restores them after a restart. An established
+ * call without a due answer is restored only when a message for it arrives or the core needs it.
+ */
 final class SavedLegs implements CallLegs {
   private static final byte[] EMPTY = {};
 
   private final SipFront front;
   private final LongSupplier wallClock;
   private final Map<String, DeferredCall> deferredCalls = new HashMap<>();
+
+  /** Restored callers' legs of set-ups that the restart interrupted, by call id. */
   private final Map<String, CallLeg> interruptedCallers = new HashMap<>();
 
-  /** A call that stood before this life and has not been woken. */
+  /**
+   * An established call of an earlier run of the controller that has not been restored yet.
+   *
+   * @param saved the stored call
+   * @param answerDue whether its 2xx is not known to be acknowledged and is sent again
+   * @param incarnation number of this run of the controller
+   */
   private record DeferredCall(SavedCall saved, boolean answerDue, int incarnation) {}
 
   SavedLegs(SipFront front, LongSupplier wallClock) {
@@ -42,7 +53,7 @@
     return wallClock.getAsLong();
   }
 
-  // ---- As they are --------------------------------------------------------------------------
+  // ---- Encoding -----------------------------------------------------------------------------
 
   @Override
   public byte[] encodeCallerLeg(String call) {
@@ -114,8 +125,8 @@
   // ---- After a restart ----------------------------------------------------------------------
 
   /**
-   * A call that owes nothing sleeps: its legs are made when a message of it comes, or something is
-   * to be done with it.
+   * Restores a call whose answer is due at once. Any other call is deferred: its legs are restored
+   * when a message for it arrives or the core needs it.
    */
   @Override
   public void resume(SavedCall saved, boolean answerDue, int incarnation) {
@@ -135,25 +146,26 @@
     }
   }
 
+  /** Keys of the messages that restore a call: of both dialogs and of a retransmitted INVITE. */
   private static List<String> restoreKeys(LegRecord callerRecord, LegRecord attemptRecord) {
     String retransmittedInvite =
         UserAgent.initialInviteKey(callerRecord.callId(), callerRecord.remoteTag());
     return List.of(callerRecord.dialogKey(), attemptRecord.dialogKey(), retransmittedInvite);
   }
 
-  /** Its session was not refreshed by any message: the call slept all the time. */
+  /** The session expired if the call is still deferred: no message has refreshed it. */
   private void sessionExpired(String call) {
     if (deferredCalls.containsKey(call)) {
       restore(call).sessionExpired();
     }
   }
 
-  /** Calls that sleep. */
+  /** Number of calls that have not been restored yet. */
   int deferredCallCount() {
     return deferredCalls.size();
   }
 
-  /** Makes the legs of a call that sleeps; null where none of that id does. */
+  /** Restores both legs of a deferred call; null if no deferred call has this id. */
   Bridge restore(String call) {
     DeferredCall deferred = deferredCalls.remove(call);
     if (deferred == null) {
@@ -191,7 +203,7 @@
     return bridge;
   }
 
-  /** A dialog that was written before its answer left has only what its INVITE says. */
+  /** The dialog state of a leg that was stored before its answer was sent, from its INVITE. */
   private static Dialog.Progress initialProgress(LegRecord callerRecord) {
     NameAddr contact = callerRecord.parseInvite().addressHeader("Contact");
     String target = contact == null ? callerRecord.parseInvite().from().uri() : contact.uri();
@@ -207,7 +219,9 @@
     }
   }
 
-  /** Reads from the answer to an OPTIONS within a dialog whether the other side holds it. */
+  /**
+   * Reads from the response to an OPTIONS within a dialog whether the remote side has the dialog.
+   */
   private record VerificationListener(Consumer<LegStatus> result)
       implements ClientTransaction.Listener {
     @Override
@@ -265,7 +279,7 @@
           @Override
           public void inviteRetransmitted(CallLeg leg) {
             whenRetransmitted.run();
-            // One that gets no other answer hears this, so that it can call off.
+            // Without a provisional response the caller may not cancel (RFC 3261 section 9.1).
             leg.progress(leg.response(100));
           }
         };
@@ -280,7 +294,10 @@
         .schedule(front.settings().timing().transactionTimeout(), () -> abandon(saved.id()));
   }
 
-  /** A caller that was not known to wait gets no answer unless it asks for one. */
+  /**
+   * Drops the leg of a caller that has got no answer: it was not known to wait, and did not
+   * retransmit its INVITE.
+   */
   private void abandon(String call) {
     CallLeg leg = interruptedCallers.remove(call);
     if (leg != null) {
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -40,14 +40,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * One call controller as SIP peers see it: callers' INVITEs become calls of the core, what the core
- * orders becomes INVITE, CANCEL and BYE toward the own switch.
+ * The SIP protocol front end of one call controller: callers' INVITEs become calls of the core, and
+ * the core's requests become INVITE, CANCEL and BYE toward the local switch.
  */
 public final class SipFront implements SipNode, UserAgent.Owner, Signalling {
-  /** Event package of the exchange list. */
+  /** Event package of the exchange directory. */
   public static final String LIST_EVENT = "exchange-list";
 
-  /** Event package of the own switch's circuit groups. */
+  /** Event package of the local switch's circuit groups. */
   public static final String CIRCUIT_EVENT = "circuit-groups";
 
   private final SipHost host;
@@ -59,18 +59,24 @@
   private final Subscriber directorySubscriber;
   private final Subscriber circuitSubscriber;
   private String circuitEpoch = "";
+
+  /** The core's call id is this prefix followed by the call's number. */
   private final String callIdPrefix;
+
   private SavedLegs savedLegs;
   private WriteAheadSignalling writeAhead;
   private Recovery recovery;
   private long lastCallNumber;
   private String lastNotifyError = "";
+
+  /** The call that {@link #incoming} created last, for {@link #callAccepted}. */
   private Bridge incomingBridge;
 
   /**
-   * Makes a controller whose calls do not survive a restart. It does nothing before {@link #start}.
+   * Creates a controller whose calls do not survive a restart. It does nothing before {@link
+   * #start}.
    *
-   * @param policyFactory makes the policy that decides
+   * @param policyFactory creates the routing policy
    */
   public SipFront(
       SipHost host,
@@ -83,10 +89,10 @@
   }
 
   /**
-   * Makes a controller. It does nothing before {@link #start}.
+   * Creates a controller. It does nothing before {@link #start}.
    *
-   * @param policyFactory makes the policy that decides
-   * @param persistence where calls are kept, and how a start goes on from it; null: nowhere
+   * @param policyFactory creates the routing policy
+   * @param persistence where calls are stored and how they are recovered; null: they are not stored
    */
   public SipFront(
       SipHost host,
@@ -136,50 +142,54 @@
   }
 
   /**
-   * Where calls are kept.
+   * Where calls are stored and how they are recovered after a restart.
    *
-   * @param store the store
-   * @param recoveryBudget what recovery may send
-   * @param wallClock ms by a clock that goes on across restarts
+   * @param store the persistent store of calls
+   * @param recoveryBudget limits of the traffic that recovery sends
+   * @param wallClock a clock that continues across restarts, ms
    */
   public record Persistence(
       CallStore store, RecoveryRate.Budget recoveryBudget, LongSupplier wallClock) {}
 
-  /** What sees that calls are kept; null where they are not. */
+  /** The layer that stores calls before messages are sent; null if calls are not stored. */
   public WriteAheadSignalling writeAhead() {
     return writeAhead;
   }
 
-  /** What goes on after a restart; null where calls are not kept. */
+  /** The recovery of calls after a restart; null if calls are not stored. */
   public Recovery recovery() {
     return recovery;
   }
 
-  /** A call, woken if it sleeps since the start; null if there is none. */
+  /** The call with this id, restored first if that was deferred at the start; null if unknown. */
   Bridge bridge(String call) {
     Bridge bridge = bridges.get(call);
     return bridge != null || savedLegs == null ? bridge : savedLegs.restore(call);
   }
 
+  /** Adds a call restored after a restart. */
   void addBridge(String call, Bridge bridge) {
     bridges.put(call, bridge);
   }
 
-  /** Something of a call that stands has changed. */
+  /** A dialog of an established call has changed: its record is updated. */
   void callChanged(String call) {
     if (writeAhead != null && bridges.containsKey(call)) {
       writeAhead.callChanged(call);
     }
   }
 
-  /** A BYE of a call is settled; with the last of them nothing of it is left at any end. */
+  /** A BYE of a call was answered, or will not be; after the last one the release is complete. */
   void releaseCompleted(String call, Bridge bridge) {
     if (writeAhead != null && !bridge.isReleasing()) {
       writeAhead.releaseCompleted(call);
     }
   }
 
-  /** A caller called off; its answer leaves once that is kept. */
+  /**
+   * A caller cancelled. Its answer is sent once the cancellation is stored, or at once if calls are
+   * not stored.
+   */
   void callerCancelled(String call, Runnable sendAnswer) {
     if (writeAhead == null) {
       sendAnswer.run();
@@ -194,7 +204,7 @@
     return new Subscriber(stack.userAgent(), host, event, localUri, target, server, watcher);
   }
 
-  /** Begins: subscribes and starts the policy. */
+  /** Starts recovery and the core, and subscribes to the circuit groups. */
   @Override
   public void start() {
     if (recovery != null) {
@@ -214,29 +224,30 @@
     stack.connectionFailed(hop, failure);
   }
 
-  /** The stack. */
+  /** The SIP stack. */
   public SipStack stack() {
     return stack;
   }
 
-  /** The core. */
+  /** The core's call controller. */
   public CallController controller() {
     return controller;
   }
 
-  /** What was wrong with the last NOTIFY that could not be used; empty if none was. */
+  /** Why the last malformed NOTIFY body was rejected; empty if there was none. */
   public String lastNotifyError() {
     return lastNotifyError;
   }
 
-  /** Calls with any leg left. */
+  /** Number of calls with at least one leg that has not ended. */
   public int callCount() {
     return bridges.size() + (savedLegs == null ? 0 : savedLegs.deferredCallCount());
   }
 
   /**
-   * Takes new settings for calls from now on: how classes are told apart, patience, margins and the
-   * bound of calls. Places, timers and bounds of the stack stay as they were.
+   * Applies new settings to calls from now on: call classes, patience, answer margin, maximum
+   * number of calls and Retry-After. The domain, addresses, timers and limits of the stack do not
+   * change.
    */
   public void reload(FrontSettings newSettings) {
     settings =
@@ -253,14 +264,14 @@
             settings.limits());
   }
 
-  /** Takes nothing new and gives up its subscriptions; calls in flight go on. */
+  /** Accepts no new calls and ends the subscriptions; present calls continue. */
   public void drain() {
     controller.drain();
     directorySubscriber.stop();
     circuitSubscriber.stop();
   }
 
-  /** Takes nothing new, answers each call in flight, and gives up its subscriptions. */
+  /** Accepts no new calls, answers each pending call and ends the subscriptions. */
   public void shutDown() {
     controller.shutDown();
     directorySubscriber.stop();
@@ -283,7 +294,7 @@
     return settings.localSwitch();
   }
 
-  // ---- Calls that come in -------------------------------------------------------------------
+  // ---- Incoming calls -----------------------------------------------------------------------
 
   @Override
   public CallListener incoming(CallLeg leg) {
@@ -296,7 +307,7 @@
       return null;
     }
     if (remainingPatience(leg) <= 0) {
-      // It waited here unread until its caller's time was up: no attempt may leave for it.
+      // The INVITE was queued here until its caller's patience was over: no attempt may be sent.
       leg.reject(leg.response(408));
       return null;
     }
@@ -312,9 +323,10 @@
   }
 
   /**
-   * After calls had gone on unkept an INVITE that comes by UDP may be the repeat of one whose
-   * attempt is out: no attempt is made for such while one of before can come again. What comes by
-   * TCP is new, as all connections were made since.
+   * Whether an INVITE may be a retransmission of one from before the restart. If calls were set up
+   * before the restart without being stored, its attempt may still be in flight, so no other is
+   * made while such a retransmission can arrive. This concerns UDP only: all TCP connections were
+   * made after the restart, so an INVITE on one of them is new.
    */
   private boolean mayPredateRestart(CallLeg leg) {
     return recovery != null
@@ -347,7 +359,10 @@
     }
   }
 
-  /** What is left of the caller's time: it waited here unread, and the answer has a way to go. */
+  /**
+   * The caller's remaining patience, ms: without the time that its INVITE was queued here and the
+   * time reserved for the final answer to reach the caller.
+   */
   private double remainingPatience(CallLeg leg) {
     String expires = leg.invite().header("Expires");
     double patienceMillis =
@@ -356,14 +371,16 @@
         0, patienceMillis - leg.millisSinceInvite(host.now()) - settings.answerMarginMillis());
   }
 
-  /** A call that the own switch hands over came from another exchange: it is in transit. */
+  /**
+   * Whether the local switch forwarded the call: it then comes from another exchange, in transit.
+   */
   private boolean isFromLocalSwitch(CallLeg leg) {
     Via via = leg.invite().via();
     Hop localSwitch = settings.localSwitch();
     return via.host().equals(localSwitch.host()) && via.portOrDefault() == localSwitch.port();
   }
 
-  /** Forgets a call once nothing is left of it. */
+  /** Removes a call once both of its legs have ended. */
   void removeIfEnded(String id) {
     Bridge bridge = bridges.get(id);
     if (bridge != null && bridge.hasEnded()) {
@@ -371,7 +388,7 @@
     }
   }
 
-  // ---- What the core orders -----------------------------------------------------------------
+  // ---- Requests of the core -----------------------------------------------------------------
 
   @Override
   public Scheduler scheduler() {
@@ -387,7 +404,7 @@
     bridge.sendInvite();
   }
 
-  /** Makes an attempt ready without sending it. */
+  /** Prepares an attempt without sending it. */
   Bridge prepareAttempt(AttemptRequest request) {
     Bridge bridge = bridge(request.call());
     bridge.prepare(request, attemptInvite(request, bridge.callerLeg().invite()));
@@ -416,7 +433,7 @@
     return invite;
   }
 
-  /** Tells the way taken, where the caller wants to know it (RFC 7044). */
+  /** Adds the next exchange to History-Info if the caller's INVITE has that field (RFC 7044). */
   private static void addHistory(
       AttemptRequest request, SipRequest callerInvite, SipRequest invite) {
     List<String> history = callerInvite.headers("History-Info");
@@ -467,7 +484,7 @@
     return request;
   }
 
-  /** Hears the answer to one probe. */
+  /** Receives the response to one probe. */
   private final class ProbeListener implements ClientTransaction.Listener {
     private final String exchange;
     private final double sentAt;
@@ -516,7 +533,7 @@
     directorySubscriber.subscribe();
   }
 
-  // ---- Requests outside of calls ------------------------------------------------------------
+  // ---- Requests outside calls ---------------------------------------------------------------
 
   @Override
   public void request(ServerTransaction transaction, SipRequest request) {
@@ -550,7 +567,7 @@
     }
   }
 
-  /** Load figures of the own switch ride on each of its answers. */
+  /** Passes on the local switch's load figures, which each of its responses may carry. */
   void reportLocalLoad(SipResponse response) {
     LoadReports.Report report = OverloadReport.of(response, host.now());
     ExchangeDirectory.Entry localExchange =
@@ -560,7 +577,7 @@
     }
   }
 
-  /** Hears of the exchange list. */
+  /** Receives updates of the exchange directory. */
   private final class DirectoryWatcher implements Subscriber.Watcher {
     @Override
     public void notified(SipRequest notify) {
@@ -580,7 +597,7 @@
     }
   }
 
-  /** Hears of the own circuit groups. */
+  /** Receives reports on the local switch's circuit groups. */
   private final class CircuitWatcher implements Subscriber.Watcher {
     @Override
     public void notified(SipRequest notify) {
@@ -601,7 +618,7 @@
 
     @Override
     public void lost(String reason) {
-      // The figures held stay the last that are known; the subscriber asks again by itself.
+      // The last known figures stay in use; the subscriber subscribes again by itself.
     }
   }
 }
