--- a/sipfront/src/main/java/coveladder/sipfront/AttemptOutcome.java
+++ b/sipfront/src/main/java/coveladder/sipfront/AttemptOutcome.java
@@ -15,11 +15,11 @@
  * @param retryAfterMillis time that a full processor asks its senders to wait, ms; 0: no request
  */
 record AttemptOutcome(Outcome outcome, Reason reason, double retryAfterMillis) {
-  /** Final statuses after which another route may still succeed. */
+  /** Final statuses after which another attempt may still succeed. */
   private static final Set<Integer> REROUTABLE_STATUSES =
       Set.of(408, 480, 482, 483, 486, 487, 491, 500, 502, 503, 504, 600);
 
-  /** Whether the callee itself rejected the call, so that no other route would succeed. */
+  /** Whether the callee itself rejected the call, so that no other route would help. */
   static boolean isConclusive(SipResponse response) {
     return !REROUTABLE_STATUSES.contains(response.status());
   }
@@ -36,6 +36,7 @@
     };
   }
 
+  /** The outcome of a 503, by the Q.850 cause that it gives. */
   private static AttemptOutcome ofServiceUnavailable(SipResponse response, ReasonField reason) {
     double retryAfterMillis = 1000.0 * response.numericHeader("Retry-After", 0);
     return switch (reason.cause()) {
@@ -69,7 +70,7 @@
    *
    * @param bye the remote BYE; null if the remote end stopped responding
    */
-  static AttemptOutcome ofBye(SipRequest bye) {
+  static AttemptOutcome ofEstablishedCall(SipRequest bye) {
     int cause = bye == null ? ReasonField.TEMPORARY_FAILURE : ReasonField.of(bye).cause();
     boolean normal = cause == 0 || cause == ReasonField.NORMAL_CLEARING;
     return withoutRetryAfter(normal ? Outcome.DONE : Outcome.RESET, Reason.NONE);
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -26,7 +26,10 @@
 
   private final SipFront front;
   private final String id;
+
+  /** Whether the call came from another exchange through the local switch. */
   private final boolean transit;
+
   private CallLeg callerLeg;
 
   /** Reliable provisional responses, by their RSeq on the caller's leg minus 1. */
@@ -38,7 +41,7 @@
   /** The callee's final response until it is passed on; null if there is none. */
   private SipResponse calleeAnswer;
 
-  /** Whether the callee's 2xx has the offer, so that its ACK must have the caller's SDP answer. */
+  /** Whether the callee's 2xx has the SDP offer: its ACK then waits for the caller's SDP answer. */
   private boolean awaitsCallerAck;
 
   private boolean inviteSent;
@@ -100,9 +103,10 @@
    *
    * @param intervalSeconds the session interval, s; 0: the session does not expire
    */
-  void resume(CallLeg restoredCaller, CallLeg restoredAttempt, int attempt, long intervalSeconds) {
-    callerLeg = restoredCaller;
-    attemptLeg = restoredAttempt;
+  void resume(
+      CallLeg restoredCallerLeg, CallLeg restoredAttemptLeg, int attempt, long intervalSeconds) {
+    callerLeg = restoredCallerLeg;
+    attemptLeg = restoredAttemptLeg;
     currentAttempt = attempt;
     inviteSent = true;
     sessionIntervalMillis = intervalSeconds * 1000.0;
@@ -122,12 +126,14 @@
     return new AttemptListener(attempt);
   }
 
+  /** Cancels an attempt unless another has replaced it. */
   void cancel(int attempt) {
     if (attempt == currentAttempt && attemptLeg != null) {
       attemptLeg.cancel("SIP;cause=487");
     }
   }
 
+  /** Releases an attempt unless another has replaced it. */
   void release(int attempt) {
     if (attempt == currentAttempt && attemptLeg != null) {
       attemptLeg.bye(ReasonField.format(ReasonField.NORMAL_CLEARING, false));
@@ -197,7 +203,7 @@
 
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
-      reportEnd(AttemptOutcome.ofBye(bye));
+      reportEnd(AttemptOutcome.ofEstablishedCall(bye));
     }
 
     @Override
@@ -359,6 +365,7 @@
     return index + 1;
   }
 
+  /** Relays a PRACK with RAck as the attempt's leg has it, or rejects it if that is unknown. */
   private void relayPrack(ServerTransaction transaction, SipRequest request) {
     String[] parts = request.header("RAck", "").trim().split("[ \t]+");
     int index =
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -14,20 +14,20 @@
    * Reason, the controller that sent it here learns that a tandem refused it.
    */
   static SipResponse of(
-      CallLeg caller, FinalAnswer answer, boolean transit, FrontSettings settings) {
+      CallLeg callerLeg, FinalAnswer answer, boolean transit, FrontSettings settings) {
     if (answer.kind() == FinalAnswer.Kind.SHUT_DOWN) {
-      return unavailable(caller, ReasonField.CONGESTION, transit, settings.retryAfterSeconds());
+      return unavailable(callerLeg, ReasonField.CONGESTION, transit, settings.retryAfterSeconds());
     }
     if (answer.reason() == Reason.NUMBER_BUSY) {
-      return caller.response(486);
+      return callerLeg.response(486);
     }
     int retryAfterSeconds = (int) Math.ceil(answer.retryAfterMillis() / 1000);
     if (transit || answer.kind() == FinalAnswer.Kind.REFUSED) {
       boolean processorFull = answer.reason() == Reason.PROCESSOR_FULL;
       int cause = processorFull ? ReasonField.CONGESTION : ReasonField.NO_CIRCUIT;
-      return unavailable(caller, cause, transit, retryAfterSeconds);
+      return unavailable(callerLeg, cause, transit, retryAfterSeconds);
     }
-    return caller.response(answer.reason() == Reason.NONE ? 408 : 480);
+    return callerLeg.response(answer.reason() == Reason.NONE ? 408 : 480);
   }
 
   /**
@@ -38,8 +38,8 @@
    * @param retryAfterSeconds value of Retry-After, s; 0: the field is left out
    */
   static SipResponse unavailable(
-      CallLeg caller, int cause, boolean transit, int retryAfterSeconds) {
-    SipResponse response = caller.response(503);
+      CallLeg callerLeg, int cause, boolean transit, int retryAfterSeconds) {
+    SipResponse response = callerLeg.response(503);
     response.add("Reason", ReasonField.format(cause, transit));
     if (retryAfterSeconds > 0) {
       response.add("Retry-After", Integer.toString(retryAfterSeconds));
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -43,6 +43,7 @@
   private static final int MAX_HEADERS = 1_000;
   private static final byte[] EMPTY = {};
 
+  /** Encodes the record. */
   byte[] encode() {
     ByteArrayOutputStream out = new ByteArrayOutputStream(invite.length + answer.length + 128);
     try (DataOutputStream data = new DataOutputStream(out)) {
@@ -70,6 +71,7 @@
     return out.toByteArray();
   }
 
+  /** Decodes a whole record. */
   static LegRecord decode(byte[] octets) {
     return decode(octets, true);
   }
@@ -108,7 +110,7 @@
     }
   }
 
-  /** A copy with a new state of the dialog. */
+  /** A copy with the changed state of the dialog; the interval is in s. */
   LegRecord withDialogState(
       boolean newAcknowledged, Dialog.Progress newProgress, long newIntervalSeconds) {
     return new LegRecord(
--- a/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
+++ b/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
@@ -21,17 +21,17 @@
   static Report of(SipResponse response, double now) {
     Via via = response.via();
     Params params = via.params();
-    double value = parseNumber(params.get("oc"));
+    double limit = parseNumber(params.get("oc"));
     double validityMillis = parseNumber(params.get("oc-validity"));
-    if (Double.isNaN(value)) {
+    if (Double.isNaN(limit)) {
       return null;
     }
-    boolean byRate = "rate".equals(unquoted(params.get("oc-algo")));
+    boolean rateBased = "rate".equals(unquoted(params.get("oc-algo")));
     double validUntil = now + (Double.isNaN(validityMillis) ? 500 : validityMillis);
     double sequence = parseNumber(params.get("oc-seq"));
     return new Report(
-        byRate ? Double.NaN : Math.min(100, value) / 100,
-        byRate ? value : Double.NaN,
+        rateBased ? Double.NaN : Math.min(100, limit) / 100,
+        rateBased ? limit : Double.NaN,
         Double.NaN,
         Double.NaN,
         Double.isNaN(sequence) ? now : sequence,
@@ -42,7 +42,7 @@
     return text == null ? "" : text.replace("\"", "");
   }
 
-  /** A number that is not negative and below 1e15; NaN if the text is no such number. */
+  /** Parses a number from 0 to below 1e15; NaN if the text is missing or no such number. */
   private static double parseNumber(String text) {
     try {
       double value = text == null || text.isEmpty() ? Double.NaN : Double.parseDouble(text);
--- a/sipfront/src/main/java/coveladder/sipfront/ReasonField.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ReasonField.java
@@ -10,6 +10,7 @@
  * @param fromTransit whether the location is a transit network (TN), that is a tandem
  */
 record ReasonField(int cause, boolean fromTransit) {
+  // Q.850 causes.
   static final int NORMAL_CLEARING = 16;
   static final int TEMPORARY_FAILURE = 41;
   static final int NO_CIRCUIT = 34;
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -21,14 +21,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Encodes the legs of SIP calls for the store and restores them after a restart. An established
- * call without a due answer is restored only when a message for it arrives or the core needs it.
+ * Encodes the legs of SIP calls for the store and restores them after a restart. Restoring an
+ * established call is deferred until it is needed, unless its answer must be sent again.
  */
 final class SavedLegs implements CallLegs {
   private static final byte[] EMPTY = {};
 
   private final SipFront front;
   private final LongSupplier wallClock;
+
+  /** Established calls that have not been restored yet, by call id. */
   private final Map<String, DeferredCall> deferredCalls = new HashMap<>();
 
   /** Restored callers' legs of set-ups that the restart interrupted, by call id. */
@@ -38,10 +40,10 @@
    * An established call of an earlier run of the controller that has not been restored yet.
    *
    * @param saved the stored call
-   * @param answerDue whether its 2xx is not known to be acknowledged and is sent again
+   * @param retransmitAnswer whether its 2xx is sent again, as it may not have been acknowledged
    * @param incarnation number of this run of the controller
    */
-  private record DeferredCall(SavedCall saved, boolean answerDue, int incarnation) {}
+  private record DeferredCall(SavedCall saved, boolean retransmitAnswer, int incarnation) {}
 
   SavedLegs(SipFront front, LongSupplier wallClock) {
     this.front = front;
@@ -125,18 +127,18 @@
   // ---- After a restart ----------------------------------------------------------------------
 
   /**
-   * Restores a call whose answer is due at once. Any other call is deferred: its legs are restored
-   * when a message for it arrives or the core needs it.
+   * Restores the call at once if its 2xx must be sent again. Otherwise its legs are restored when a
+   * message for it arrives, the core needs it or its session expires.
    */
   @Override
   public void resume(SavedCall saved, boolean answerDue, int incarnation) {
     LegRecord callerRecord = LegRecord.decodeHead(saved.callerLeg());
     LegRecord attemptRecord = LegRecord.decodeHead(saved.attemptLeg());
-    boolean answerUnacknowledged = answerDue && !callerRecord.acknowledged();
-    deferredCalls.put(saved.id(), new DeferredCall(saved, answerUnacknowledged, incarnation));
+    boolean retransmitAnswer = answerDue && !callerRecord.acknowledged();
+    deferredCalls.put(saved.id(), new DeferredCall(saved, retransmitAnswer, incarnation));
     restoreKeys(callerRecord, attemptRecord)
         .forEach(key -> front.userAgent().deferRestore(key, () -> restore(saved.id())));
-    if (answerUnacknowledged) {
+    if (retransmitAnswer) {
       restore(saved.id());
     } else if (attemptRecord.sessionIntervalSeconds() > 0) {
       front
@@ -153,7 +155,7 @@
     return List.of(callerRecord.dialogKey(), attemptRecord.dialogKey(), retransmittedInvite);
   }
 
-  /** The session expired if the call is still deferred: no message has refreshed it. */
+  /** Releases the call if it is still deferred: no message has then refreshed its session. */
   private void sessionExpired(String call) {
     if (deferredCalls.containsKey(call)) {
       restore(call).sessionExpired();
@@ -177,20 +179,20 @@
     restoreKeys(callerRecord, attemptRecord).forEach(front.userAgent()::cancelDeferredRestore);
     Bridge bridge = new Bridge(front, saved.id(), saved.call().transit(), null);
     front.addBridge(saved.id(), bridge);
-    CallLeg caller =
+    CallLeg callerLeg =
         front
             .userAgent()
             .resumeCallee(
                 callerRecord.parseInvite(),
                 callerRecord.hop(),
                 callerRecord.parseAnswer(),
-                !deferred.answerDue(),
+                !deferred.retransmitAnswer(),
                 (callerRecord.progress() == null
                         ? initialProgress(callerRecord)
                         : callerRecord.progress())
                     .forIncarnation(deferred.incarnation()),
                 bridge.callerListener());
-    CallLeg attempt =
+    CallLeg attemptLeg =
         front
             .userAgent()
             .resumeCaller(
@@ -199,11 +201,11 @@
                 attemptRecord.parseAnswer(),
                 attemptRecord.progress().forIncarnation(deferred.incarnation()),
                 bridge.attemptListener(saved.attempt()));
-    bridge.resume(caller, attempt, saved.attempt(), attemptRecord.sessionIntervalSeconds());
+    bridge.resume(callerLeg, attemptLeg, saved.attempt(), attemptRecord.sessionIntervalSeconds());
     return bridge;
   }
 
-  /** The dialog state of a leg that was stored before its answer was sent, from its INVITE. */
+  /** The dialog state that an INVITE gives, for a leg stored before its answer was sent. */
   private static Dialog.Progress initialProgress(LegRecord callerRecord) {
     NameAddr contact = callerRecord.parseInvite().addressHeader("Contact");
     String target = contact == null ? callerRecord.parseInvite().from().uri() : contact.uri();
@@ -295,7 +297,7 @@
   }
 
   /**
-   * Drops the leg of a caller that has got no answer: it was not known to wait, and did not
+   * Drops the leg of a caller that has got no answer: the caller was not known to wait and did not
    * retransmit its INVITE.
    */
   private void abandon(String call) {
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -55,9 +55,14 @@
   private final SipStack stack;
   private final CallController controller;
   private final Scheduler scheduler;
+
+  /** Calls whose legs have not both ended, by call id, without those not restored yet. */
   private final Map<String, Bridge> bridges = new HashMap<>();
+
   private final Subscriber directorySubscriber;
   private final Subscriber circuitSubscriber;
+
+  /** Epoch of the last circuit report; another one means that the switch was restarted. */
   private String circuitEpoch = "";
 
   /** The core's call id is this prefix followed by the call's number. */
@@ -411,6 +416,7 @@
     return bridge;
   }
 
+  /** Builds the INVITE of an attempt from the caller's INVITE. */
   private SipRequest attemptInvite(AttemptRequest request, SipRequest callerInvite) {
     String domain =
         request.destination() == null
@@ -477,6 +483,7 @@
     userAgent().sendOutsideDialog(options, hop, new ProbeListener(exchange.id(), sentAt));
   }
 
+  /** Creates a request of the controller outside any dialog. */
   private SipRequest newRequest(String method, String uri) {
     SipRequest request = new SipRequest(method, uri);
     request.add("From", "<sip:controller@" + settings.domain() + '>');
@@ -550,6 +557,7 @@
     }
   }
 
+  /** The response to OPTIONS, which tells what the controller supports. */
   private static SipResponse optionsResponse(SipRequest request) {
     SipResponse response = request.response(200);
     response.add("Allow", UserAgent.ALLOW);
@@ -558,6 +566,7 @@
     return response;
   }
 
+  /** Handles a MESSAGE of another controller, whose exchange number is the user of From. */
   private void receivePeerMessage(ServerTransaction transaction, SipRequest request) {
     SipUri from = SipUri.parse(request.addressHeader("From").uri());
     boolean known = from != null && from.user().matches("[0-9]{1,9}");
