--- a/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerCalls.java
@@ -6,8 +6,8 @@
 import coveladder.isup.CallerMessage;
 import coveladder.isup.Cause;
 import coveladder.isup.MalformedException;
-import coveladder.isupfront.Wires.Wire;
-import coveladder.isupfront.Wires.WireUser;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -63,12 +63,12 @@
   // ---- Connections --------------------------------------------------------------------------
 
   /** A caller connected. Where there are too many, the one least used makes room. */
-  WireUser accepted(Wire wire) {
-    CallerLink link = new CallerLink(this, wire, limits.message(), clock.now());
-    if (links.size() >= limits.callerLinks()) {
+  ConnectionListener accepted(Connection wire) {
+    CallerLink link = new CallerLink(this, wire, limits.maxMessageBytes(), clock.now());
+    if (links.size() >= limits.maxCallerConnections()) {
       CallerLink idle = leastUsed();
       (idle == null ? link : idle).close();
-      counters.count("caller links closed for room");
+      counters.increment("caller links closed for room");
     }
     if (!link.closed()) {
       links.add(link);
@@ -101,8 +101,8 @@
     double now = clock.now();
     for (CallerLink link : new ArrayList<>(links)) {
       boolean nothing = !link.proper() && link.open().isEmpty();
-      if (link.silentFor(now) > limits.silence() && (link.within() || nothing)) {
-        counters.count("caller links closed as silent");
+      if (link.silentFor(now) > limits.callerSilenceMillis() && (link.within() || nothing)) {
+        counters.increment("caller links closed as silent");
         link.close();
       }
     }
@@ -119,7 +119,7 @@
 
   /** Octets that are no message: the connection ends. */
   void unreadable(CallerLink link, String found) {
-    counters.count("caller links closed as unreadable: " + found);
+    counters.increment("caller links closed as unreadable: " + found);
     link.close();
   }
 
@@ -152,7 +152,7 @@
     try {
       setUp = reader.read(message);
     } catch (MalformedException e) {
-      counters.count("set-ups that cannot be used: " + e.getMessage());
+      counters.increment("set-ups that cannot be used: " + e.getMessage());
       unusable(link, id);
       return;
     }
@@ -160,7 +160,7 @@
       stands(link, setUp);
     } else if (controller.call(id) != null || calls.containsKey(id)) {
       twice(link, id);
-    } else if (ending || open >= limits.openCalls()) {
+    } else if (ending || open >= limits.maxPendingCalls()) {
       link.send(CallerMessage.withCause(CallerMessage.RELEASE, id, Cause.CONGESTION));
     } else {
       take(link, setUp, arrived);
@@ -169,7 +169,7 @@
 
   private void take(CallerLink link, SetUp setUp, double arrived) {
     if (failing) {
-      counters.count(setUp.transit() ? "late set-ups in transit" : "late set-ups of callers");
+      counters.increment(setUp.transit() ? "late set-ups in transit" : "late set-ups of callers");
     }
     calls.put(setUp.id(), new Held(setUp, link));
     link.open().add(setUp.id());
@@ -185,7 +185,7 @@
       takenBack(id);
     }
     link.send(CallerMessage.withCause(CallerMessage.RELEASE, id, Cause.PROTOCOL_ERROR));
-    if (link.countUnusable() >= limits.unusable() && link.open().isEmpty()) {
+    if (link.countUnusable() >= limits.maxUnusableMessages() && link.open().isEmpty()) {
       link.close();
     }
   }
@@ -195,7 +195,7 @@
    * taken back and one release answers for both; elsewhere the second alone is refused.
    */
   private void twice(CallerLink link, String id) {
-    counters.count("set-ups under an id that is held");
+    counters.increment("set-ups under an id that is held");
     link.refuseHeld(id);
     unusable(link, id);
   }
@@ -205,8 +205,8 @@
     if (controller.call(setUp.id()) != null) {
       return;
     }
-    if (calls.size() >= limits.standingCalls() || !switches.resume(setUp.id(), setUp.at())) {
-      counters.count("calls said to stand at a switch that is not known");
+    if (calls.size() >= limits.maxTrackedCalls() || !switches.resume(setUp.id(), setUp.at())) {
+      counters.increment("calls said to stand at a switch that is not known");
       releases.release(link, setUp.id(), Cause.TEMPORARY_FAILURE);
       return;
     }
@@ -222,11 +222,11 @@
     if (link.open().contains(id)) {
       takenBack(id);
     } else if (link.wasHeld(id)) {
-      counters.count("releases under an id that was another's");
+      counters.increment("releases under an id that was another's");
     } else {
       Held held = calls.get(id);
       if (held != null && held.link != link && !held.link.closed()) {
-        counters.count("calls ended from another connection than theirs, which is open");
+        counters.increment("calls ended from another connection than theirs, which is open");
       }
       controller.callerReleased(id);
     }
--- a/isupfront/src/main/java/coveladder/isupfront/CallerLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerLink.java
@@ -4,20 +4,20 @@
 import coveladder.isup.CallerFramer;
 import coveladder.isup.CallerMessage;
 import coveladder.isup.MalformedException;
-import coveladder.isupfront.Wires.Loss;
-import coveladder.isupfront.Wires.Wire;
-import coveladder.isupfront.Wires.WireUser;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import coveladder.isupfront.Transport.Loss;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
 
 /** One connection of callers. */
-final class CallerLink implements WireUser {
+final class CallerLink implements ConnectionListener {
   private static final int MOST_REFUSED = 64;
 
   private final CallerCalls calls;
-  private final Wire wire;
+  private final Connection wire;
   private final CallerFramer framer;
   private final Set<String> open = new LinkedHashSet<>();
   private final RecentIds refusedAsHeld = new RecentIds(MOST_REFUSED);
@@ -28,7 +28,7 @@
   private int unusable;
   private int stood;
 
-  CallerLink(CallerCalls calls, Wire wire, int most, double now) {
+  CallerLink(CallerCalls calls, Connection wire, int most, double now) {
     this.calls = calls;
     this.wire = wire;
     this.framer = new CallerFramer(most);
--- a/isupfront/src/main/java/coveladder/isupfront/Counters.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Counters.java
@@ -10,19 +10,19 @@
   private final Map<String, Long> told = new TreeMap<>();
 
   /** Counts one. */
-  public void count(String what) {
+  public void increment(String what) {
     if (counts.size() < MOST_KINDS || counts.containsKey(what)) {
       counts.merge(what, 1L, Long::sum);
     }
   }
 
   /** How many there were. */
-  public long of(String what) {
+  public long valueOf(String what) {
     return counts.getOrDefault(what, 0L);
   }
 
   /** What has grown since the last time this was asked; empty where nothing has. */
-  public String news() {
+  public String takeChanges() {
     StringBuilder news = new StringBuilder();
     counts.forEach(
         (what, count) -> {
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFront.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -9,8 +9,8 @@
 import coveladder.core.Scheduler;
 import coveladder.core.Signalling;
 import coveladder.core.TrackedCall;
-import coveladder.isupfront.Wires.Wire;
-import coveladder.isupfront.Wires.WireUser;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
 import java.util.List;
 import java.util.function.Function;
 
@@ -18,7 +18,7 @@
  * The call controller on the platform's protocol: joins callers, switches and the journal service
  * to the core. It decides nothing on calls; it opens no socket and reads no clock.
  */
-public final class IsupFront implements Signalling {
+public final class IsupFrontEnd implements Signalling {
   private static final double SWEEP = 100;
 
   /**
@@ -43,7 +43,7 @@
   private final SwitchLinks switches;
   private final CallerCalls callers;
   private final JournalFollower journal;
-  private final Wires wires;
+  private final Transport wires;
   private final double window;
   private double endsSince = Double.NaN;
   private double closedAt = Double.NaN;
@@ -53,28 +53,31 @@
    *
    * @param policies makes the policy that decides, given where its actions go
    */
-  public IsupFront(
+  public IsupFrontEnd(
       PlatformSettings settings,
       Limits limits,
-      Wires wires,
+      Transport wires,
       Scheduler clock,
       Function<CallPolicy.Actions, CallPolicy> policies) {
     this.settings = settings;
     this.clock = clock;
     this.wires = wires;
-    this.window = window(settings.policy().classes());
-    AttemptGuard guard = new AttemptGuard(settings.policy().guardTime(), settings.grace());
-    int self = settings.policy().localExchange();
-    this.controller = new CallController(settings.policy(), this, guard, new Ends(), policies);
+    this.window = window(settings.policySettings().classes());
+    AttemptGuard guard =
+        new AttemptGuard(settings.policySettings().guardTime(), settings.drainGraceMillis());
+    int self = settings.policySettings().localExchange();
+    this.controller =
+        new CallController(settings.policySettings(), this, guard, new Ends(), policies);
     this.switches =
         new SwitchLinks(controller, clock, wires, limits, counters, self, guard, settings.seed());
     SetUp.Reader reader =
-        new SetUp.Reader(settings.classes(), settings.policy().classes(), this::canBeCalled);
+        new SetUp.Reader(
+            settings.classNames(), settings.policySettings().classes(), this::canBeCalled);
     ReleaseKeeper releases = new ReleaseKeeper(clock);
     this.callers = new CallerCalls(controller, clock, limits, reader, releases, switches, counters);
     this.journal =
         new JournalFollower(
-            controller, clock, wires, counters, settings.journal(), switches::follow);
+            controller, clock, wires, counters, settings.journalAddress(), switches::follow);
     switches.describeTo(callers::describe);
   }
 
@@ -91,7 +94,7 @@
    * are made up.
    */
   private boolean canBeCalled(int number) {
-    return number >= 0 && number < settings.policy().controllerCount()
+    return number >= 0 && number < settings.policySettings().controllerCount()
         || controller.directory().hasEverListed(number);
   }
 
@@ -106,7 +109,7 @@
   /** Begins. */
   public void start() {
     controller.start();
-    journal.start(settings.known(), settings.pos());
+    journal.start(settings.knownEvents(), settings.journalPosition());
     sweep();
   }
 
@@ -119,13 +122,13 @@
   }
 
   /** A caller connected. */
-  public WireUser accepted(Wire wire) {
+  public ConnectionListener acceptCaller(Connection wire) {
     return callers.accepted(wire);
   }
 
   /** A new configuration holds; of it, the address of the journal service is followed. */
   public void reconfigure(PlatformSettings changed) {
-    journal.moved(changed.journal());
+    journal.moved(changed.journalAddress());
   }
 
   /** The controller is to end: calls still come for a while, then the last are answered. */
@@ -158,7 +161,7 @@
   }
 
   /** Whether it was told to end, every call has its answer, and no connection can bring more. */
-  public boolean ended() {
+  public boolean isTerminated() {
     return clock.now() - closedAt >= CROSSING && callers.open() == 0;
   }
 
@@ -168,7 +171,7 @@
   }
 
   /** One line on what is held. */
-  public String state() {
+  public String stateSummary() {
     return "calls "
         + controller.callCount()
         + ", unanswered "
@@ -222,7 +225,7 @@
 
   @Override
   public void broadcast(byte[] payload) {
-    counters.count("messages to other controllers, which the protocol does not carry");
+    counters.increment("messages to other controllers, which the protocol does not carry");
   }
 
   @Override
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -6,9 +6,9 @@
 import coveladder.isup.JournalLine;
 import coveladder.isup.LineFramer;
 import coveladder.isup.MalformedException;
-import coveladder.isupfront.Wires.Loss;
-import coveladder.isupfront.Wires.Wire;
-import coveladder.isupfront.Wires.WireUser;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import coveladder.isupfront.Transport.Loss;
 import coveladder.wire.ReportReader;
 import coveladder.wire.WireException;
 import java.nio.charset.StandardCharsets;
@@ -29,7 +29,7 @@
 
   private final CallController controller;
   private final Scheduler clock;
-  private final Wires wires;
+  private final Transport wires;
   private final Counters counters;
   private final Runnable changed;
   private PlatformSettings.Address address;
@@ -40,7 +40,7 @@
   JournalFollower(
       CallController controller,
       Scheduler clock,
-      Wires wires,
+      Transport wires,
       Counters counters,
       PlatformSettings.Address address,
       Runnable changed) {
@@ -53,9 +53,9 @@
   }
 
   /** One connection to the service. */
-  private final class Link implements WireUser {
+  private final class Link implements ConnectionListener {
     private final LineFramer framer = new LineFramer(LONGEST_LINE);
-    private Wire wire;
+    private Connection wire;
     private double heard = clock.now();
 
     @Override
@@ -86,13 +86,13 @@
     }
 
     private void unreadable(String found) {
-      counters.count("journal lines that cannot be read: " + found);
+      counters.increment("journal lines that cannot be read: " + found);
       askAgain(this, 0);
     }
 
     @Override
     public void lost(Loss loss) {
-      counters.count("journal connections lost");
+      counters.increment("journal connections lost");
       if (link == this) {
         link = null;
         wait(loss == Loss.CLOSED ? 0 : again);
@@ -143,7 +143,7 @@
   /** Looks whether the service has fallen silent. */
   void sweep() {
     if (link != null && clock.now() - link.heard > SILENT) {
-      counters.count("journal connections given up as silent");
+      counters.increment("journal connections given up as silent");
       askAgain(link, 0);
     }
   }
@@ -153,7 +153,7 @@
       return;
     }
     if (!line.event() || line.position() != pos + 1) {
-      counters.count("journal events left out");
+      counters.increment("journal events left out");
       if (link != null) {
         askAgain(link, AGAIN_FIRST);
       }
--- a/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
+++ b/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
@@ -16,27 +16,27 @@
  * What a call controller is told by its configuration file.
  *
  * @param name its name
- * @param listen where callers connect
+ * @param listenAddress where callers connect
  * @param seed of all that is drawn
- * @param descriptors most descriptors of the process
- * @param journal where the journal service listens
- * @param pos number of the last event known
- * @param known the events known
- * @param classes names of the classes, by their numbers
- * @param grace time within which sends to a closed exchange must cease, ms
- * @param policy what the policy is told
+ * @param maxDescriptors most descriptors of the process
+ * @param journalAddress where the journal service listens
+ * @param journalPosition number of the last event known
+ * @param knownEvents the events known
+ * @param classNames names of the classes, by their numbers
+ * @param drainGraceMillis time within which sends to a closed exchange must cease, ms
+ * @param policySettings what the policy is told
  */
 public record PlatformSettings(
     String name,
-    Address listen,
+    Address listenAddress,
     long seed,
-    int descriptors,
-    Address journal,
-    long pos,
-    List<JournalLine> known,
-    List<String> classes,
-    double grace,
-    CallPolicy.Settings policy) {
+    int maxDescriptors,
+    Address journalAddress,
+    long journalPosition,
+    List<JournalLine> knownEvents,
+    List<String> classNames,
+    double drainGraceMillis,
+    CallPolicy.Settings policySettings) {
 
   /**
    * An address.
@@ -70,7 +70,7 @@
     try {
       Map<String, String> paths = Json.flatten(document);
       Fields all = new Fields("configuration", paths);
-      Fields settings = new Fields("settings", below(paths, "settings."));
+      Fields settings = new Fields("settings", underPrefix(paths, "settings."));
       return new PlatformSettings(
           all.text("name", "controller"),
           Address.of("listen", all.text("listen")),
@@ -87,7 +87,7 @@
     }
   }
 
-  private static Map<String, String> below(Map<String, String> paths, String prefix) {
+  private static Map<String, String> underPrefix(Map<String, String> paths, String prefix) {
     Map<String, String> found = new HashMap<>();
     paths.forEach(
         (path, value) -> {
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -7,7 +7,7 @@
 import coveladder.core.AttemptRequest;
 import coveladder.core.ExchangeDirectory;
 import coveladder.isup.SwitchMessage;
-import coveladder.isupfront.Wires.Loss;
+import coveladder.isupfront.Transport.Loss;
 import coveladder.wire.ReportReader;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -119,7 +119,7 @@
   // ---- Connections --------------------------------------------------------------------------
 
   private SwitchWire connect() {
-    SwitchWire wire = new SwitchWire(this, links.limits().message(), links.now());
+    SwitchWire wire = new SwitchWire(this, links.limits().maxMessageBytes(), links.now());
     wires.add(wire);
     wire.connecting(links.wires().connect(address.host(), address.port(), wire));
     return wire;
@@ -134,7 +134,7 @@
         best = wire;
       }
     }
-    boolean room = wires.size() < links.limits().switchLinks();
+    boolean room = wires.size() < links.limits().maxConnectionsPerSwitch();
     if (room && !making() && (best == null || !best.outs().isEmpty())) {
       SwitchWire made = connect();
       return best == null ? made : best;
@@ -176,7 +176,7 @@
       turnedAwaySince = links.now();
     }
     if (loss == Loss.CLOSED) {
-      links.counters().count("switch connections lost");
+      links.counters().increment("switch connections lost");
     }
     over(wire, loss == Loss.CLOSED);
     connectAgain(loss == Loss.CLOSED ? AGAIN_AFTER : notMadeAgain());
@@ -221,13 +221,13 @@
   }
 
   private boolean wantsAnother() {
-    boolean room = wires.size() < links.limits().switchLinks();
+    boolean room = wires.size() < links.limits().maxConnectionsPerSwitch();
     return followed && (wires.isEmpty() || room && !standing.isEmpty());
   }
 
   /** What came cannot be read: the connection is of no further use, for any of its set-ups. */
   void unreadable(SwitchWire wire, String found) {
-    links.counters().count("switch connections reset as unreadable: " + found);
+    links.counters().increment("switch connections reset as unreadable: " + found);
     drop(wire);
   }
 
@@ -245,8 +245,8 @@
   void sweep() {
     double now = links.now();
     for (SwitchWire wire : new ArrayList<>(wires)) {
-      if (wire.stuck(now, links.limits().stuck())) {
-        links.counters().count("switch connections reset as stuck within a line");
+      if (wire.stuck(now, links.limits().partialLineMillis())) {
+        links.counters().increment("switch connections reset as stuck within a line");
         drop(wire);
       } else if (wire.silent() && wire.outs().isEmpty() && wires.size() > 1) {
         wire.reset();
@@ -265,12 +265,12 @@
 
   /** Whether nothing came for long, nor a word that turned a connection away. */
   private boolean silent(double now) {
-    return Double.isNaN(turnedAwaySince) && now - heard > links.limits().unheard();
+    return Double.isNaN(turnedAwaySince) && now - heard > links.limits().switchSilenceMillis();
   }
 
   private void check() {
     SwitchWire oldest = wires.isEmpty() ? null : wires.get(0);
-    if (wires.size() >= links.limits().switchLinks()) {
+    if (wires.size() >= links.limits().maxConnectionsPerSwitch()) {
       if (!oldest.outs().isEmpty()) {
         return;
       }
@@ -288,7 +288,7 @@
     boolean startedAgain = now.startedAt() > entry.startedAt();
     entry = now;
     if (startedAgain) {
-      links.counters().count("switches that started again");
+      links.counters().increment("switches that started again");
       cutThoseBefore(now.startedAt());
     }
   }
@@ -305,7 +305,7 @@
     if (!waits()) {
       return;
     }
-    links.counters().count("switches taken as gone: " + why);
+    links.counters().increment("switches taken as gone: " + why);
     for (SwitchWire wire : new ArrayList<>(wires)) {
       if (wire.isOpen()) {
         drop(wire);
@@ -368,7 +368,7 @@
         new SwitchMessage(
             SwitchMessage.Kind.OPEN, out.order.call(), attrs, -1, out.setUp.description());
     if (!wire.send(message)) {
-      links.counters().count("switch connections reset as too much waits");
+      links.counters().increment("switch connections reset as too much waits");
       links.after(0, () -> drop(wire));
     }
   }
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
@@ -21,7 +21,7 @@
 
   private final CallController controller;
   private final Scheduler clock;
-  private final Wires wires;
+  private final Transport wires;
   private final Limits limits;
   private final Counters counters;
   private final int self;
@@ -36,7 +36,7 @@
   SwitchLinks(
       CallController controller,
       Scheduler clock,
-      Wires wires,
+      Transport wires,
       Limits limits,
       Counters counters,
       int self,
@@ -58,7 +58,7 @@
     descriptions = taker;
   }
 
-  Wires wires() {
+  Transport wires() {
     return wires;
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchWire.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchWire.java
@@ -5,18 +5,18 @@
 import coveladder.isup.MalformedException;
 import coveladder.isup.SwitchCodec;
 import coveladder.isup.SwitchMessage;
-import coveladder.isupfront.Wires.Loss;
-import coveladder.isupfront.Wires.Wire;
-import coveladder.isupfront.Wires.WireUser;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import coveladder.isupfront.Transport.Loss;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** One connection to a switch, with the set-ups that are out on it. */
-final class SwitchWire implements WireUser {
+final class SwitchWire implements ConnectionListener {
   private final SwitchLink link;
   private final LineFramer framer;
   private final Map<String, SwitchLink.Out> outs = new LinkedHashMap<>();
-  private Wire wire;
+  private Connection wire;
   private boolean open;
   private boolean over;
   private boolean silent;
@@ -29,7 +29,7 @@
     this.heard = now;
   }
 
-  void connecting(Wire made) {
+  void connecting(Connection made) {
     wire = made;
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/Wires.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Transport.java
@@ -1,16 +1,16 @@
 package coveladder.isupfront;
 
 /** What the front asks of the network. All happens in one thread. */
-public interface Wires {
+public interface Transport {
 
   /** Begins to connect; what comes of it is told later, never within this call. */
-  Wire connect(String host, int port, WireUser user);
+  Connection connect(String host, int port, ConnectionListener user);
 
   /** Takes no more connections of callers. */
   void stopListening();
 
   /** One connection. */
-  interface Wire {
+  interface Connection {
     /** Sends octets, or keeps them until the connection is made; false where too much waits. */
     boolean send(byte[] octets);
 
@@ -22,7 +22,7 @@
   }
 
   /** Hears what happens on one connection. */
-  interface WireUser {
+  interface ConnectionListener {
     /** It is made. */
     default void opened() {}
 
--- a/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
@@ -25,7 +25,8 @@
   @Test
   void theSameSettings() {
     assertEquals(
-        SettingsReader.read(Fields.parseLine(START)), PlatformSettings.read(Bed.CONFIG).policy());
+        SettingsReader.read(Fields.parseLine(START)),
+        PlatformSettings.read(Bed.CONFIG).policySettings());
   }
 
   @Test
--- a/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
@@ -6,7 +6,7 @@
 
 import coveladder.isup.CallerCodec;
 import coveladder.isup.CallerMessage;
-import coveladder.isupfront.Wires.Loss;
+import coveladder.isupfront.Transport.Loss;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -189,6 +189,6 @@
     }
     bed.clock.advance(100);
     assertEquals(0, bed.front.controller().callCount());
-    assertTrue(bed.front.state().contains("caller links 1,"), bed.front.state());
+    assertTrue(bed.front.stateSummary().contains("caller links 1,"), bed.front.stateSummary());
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/Bed.java
+++ b/isupfront/src/test/java/coveladder/isupfront/Bed.java
@@ -18,7 +18,7 @@
 import java.util.function.UnaryOperator;
 
 /** A front in virtual time, with wires that the test holds at their other ends. */
-final class Bed implements Wires {
+final class Bed implements Transport {
   static final byte[] CONFIG =
       """
       {"name":"n0","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","journal":"127.0.0.9:8500",
@@ -41,11 +41,11 @@
   final VirtualClock clock = new VirtualClock(1e12);
   final List<FakeWire> connected = new ArrayList<>();
   final PlatformSettings settings;
-  final IsupFront front;
+  final IsupFrontEnd front;
   boolean listening = true;
 
   Bed(Function<CallPolicy.Actions, CallPolicy> policies) {
-    this(policies, Limits.within(256, 3));
+    this(policies, Limits.forDescriptors(256, 3));
   }
 
   Bed(Function<CallPolicy.Actions, CallPolicy> policies, Limits limits) {
@@ -59,20 +59,20 @@
       UnaryOperator<String> change) {
     String config = change.apply(new String(CONFIG, StandardCharsets.UTF_8));
     settings = PlatformSettings.read(config.getBytes(StandardCharsets.UTF_8));
-    front = new IsupFront(settings, limits, this, clock, policies);
+    front = new IsupFrontEnd(settings, limits, this, clock, policies);
     front.start();
   }
 
   /** One wire, seen from its other end. */
-  final class FakeWire implements Wire {
+  final class FakeWire implements Connection {
     final int port;
-    private WireUser user;
+    private ConnectionListener user;
     private final LineFramer lines = new LineFramer(1 << 20);
     private final CallerFramer messages = new CallerFramer(1 << 16);
     final List<String> sent = new ArrayList<>();
     boolean ended;
 
-    FakeWire(int port, WireUser user) {
+    FakeWire(int port, ConnectionListener user) {
       this.port = port;
       this.user = user;
     }
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public Wire connect(String host, int port, WireUser user) {
+  public Connection connect(String host, int port, ConnectionListener user) {
     FakeWire wire = new FakeWire(port, user);
     connected.add(wire);
     return wire;
@@ -224,7 +224,7 @@
   /** A caller's connection. */
   FakeWire caller() {
     FakeWire wire = new FakeWire(0, null);
-    wire.user = front.accepted(wire);
+    wire.user = front.acceptCaller(wire);
     return wire;
   }
 
--- a/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
@@ -7,7 +7,7 @@
 
 import coveladder.isup.CallerCodec;
 import coveladder.isup.CallerMessage;
-import coveladder.isupfront.Wires.Loss;
+import coveladder.isupfront.Transport.Loss;
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeSet;
@@ -379,7 +379,7 @@
       Bed one =
           new Bed(
                   Script::new,
-                  Limits.within(256, 3),
+                  Limits.forDescriptors(256, 3),
                   config -> config.replace("seed\":\"8c1f30d27a5be964", seed))
               .open();
       one.to(2).lose(Loss.CLOSED);
--- a/isupfront/src/test/java/coveladder/isupfront/LifeTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/LifeTest.java
@@ -9,7 +9,7 @@
 import coveladder.CallPolicy;
 import coveladder.isup.CallerCodec;
 import coveladder.isup.CallerMessage;
-import coveladder.isupfront.Wires.Loss;
+import coveladder.isupfront.Transport.Loss;
 import coveladder.wire.WireException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -163,16 +163,16 @@
     bed.to(2).feed(Bed.close(7, 16, ""));
     bed.clock.advance(950);
     assertEquals(List.of("12 7 cause 16", "12 8 cause 34 wait 250"), caller.news());
-    assertFalse(bed.front.ended());
+    assertFalse(bed.front.isTerminated());
     bed.clock.advance(100);
-    assertTrue(bed.front.ended());
+    assertTrue(bed.front.isTerminated());
     assertEquals(1, bed.front.controller().callCount());
   }
 
   private Bed withLongestDeadline(int longest) {
     return new Bed(
         deeds -> script = new Script(deeds),
-        Limits.within(256, 3),
+        Limits.forDescriptors(256, 3),
         config -> config.replace("\"giveUp\":9000", "\"giveUp\":" + longest));
   }
 
@@ -188,14 +188,14 @@
     Bed.FakeWire at = bed.caller();
     at.feed(Bed.setUp(2, CallerMessage.LEFT, Integer.toString(longest)));
     int id = 2;
-    while (!bed.front.ended() && bed.clock.now() - word < kill) {
+    while (!bed.front.isTerminated() && bed.clock.now() - word < kill) {
       bed.clock.advance(50);
       if (!at.ended) {
         at.feed(
             Bed.setUp(++id, CallerMessage.LEFT, Integer.toString(longest), 21, "dest:1;transit:1"));
       }
     }
-    assertTrue(bed.front.ended(), "still there at " + (bed.clock.now() - word));
+    assertTrue(bed.front.isTerminated(), "still there at " + (bed.clock.now() - word));
     assertTrue(bed.clock.now() - word <= kill - 400, "ends at " + (bed.clock.now() - word));
     assertEquals(1, before.news().size());
     assertEquals(id - 1, at.news().size());
@@ -211,7 +211,7 @@
     bed =
         new Bed(
                 LongTries::new,
-                Limits.within(256, 3),
+                Limits.forDescriptors(256, 3),
                 config -> config.replace("\"worth\":1,", repeat))
             .open();
     Bed.FakeWire caller = bed.caller();
--- a/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
@@ -5,7 +5,7 @@
 
 import coveladder.NestedThresholdPolicy;
 import coveladder.isup.CallerMessage;
-import coveladder.isupfront.Wires.Loss;
+import coveladder.isupfront.Transport.Loss;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -21,7 +21,7 @@
   private int answered;
 
   private static coveladder.CallPolicy.Settings settings() {
-    return PlatformSettings.read(Bed.CONFIG).policy();
+    return PlatformSettings.read(Bed.CONFIG).policySettings();
   }
 
   private void call() {
@@ -97,7 +97,7 @@
       timers[minute] = bed.clock.scheduledTasks();
     }
     assertTrue(answered > next / 2, answered + " of " + next);
-    assertTrue(bed.front.controller().callCount() < 300, bed.front.state());
+    assertTrue(bed.front.controller().callCount() < 300, bed.front.stateSummary());
     assertTrue(timers[MINUTES - 1] < 2 * timers[1] + 100, List.of(timers[1], timers[4]).toString());
     due.forEach(Runnable::run);
     bed.clock.advance(10_000);
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -1,7 +1,7 @@
 package coveladder.serve;
 
 import coveladder.NestedThresholdPolicy;
-import coveladder.isupfront.IsupFront;
+import coveladder.isupfront.IsupFrontEnd;
 import coveladder.isupfront.Limits;
 import coveladder.isupfront.PlatformSettings;
 import coveladder.net.EventLoop;
@@ -43,7 +43,7 @@
 
   private final Path configurationFile;
   private final EventLoop loop;
-  private final IsupFront front;
+  private final IsupFrontEnd front;
   private final SocketWires wires;
   private final ConfigurationReloader reloader = new ConfigurationReloader(this::reload);
   private final CountDownLatch terminated = new CountDownLatch(1);
@@ -51,21 +51,24 @@
   private Serve(Path configurationFile, PlatformSettings settings) throws IOException {
     this.configurationFile = configurationFile;
     this.loop = new EventLoop("controller", LoopClock.unixEpochNanos(), QUEUE_CAPACITY);
-    Limits limits = Limits.within(settings.descriptors(), settings.policy().controllerCount());
+    Limits limits =
+        Limits.forDescriptors(
+            settings.maxDescriptors(), settings.policySettings().controllerCount());
     this.wires = new SocketWires(Sockets.streamsOnly(1), loop, streamLimits(settings, limits));
     this.front =
-        new IsupFront(
+        new IsupFrontEnd(
             settings,
             limits,
             wires,
             new LoopClock(loop),
-            actions -> new NestedThresholdPolicy(settings.policy(), settings.seed(), actions));
+            actions ->
+                new NestedThresholdPolicy(settings.policySettings(), settings.seed(), actions));
   }
 
   private static Streams.Limits streamLimits(PlatformSettings settings, Limits limits) {
-    int maxAccepted = limits.callerLinks() + 8;
+    int maxAccepted = limits.maxCallerConnections() + 8;
     return new Streams.Limits(
-        settings.descriptors(), maxAccepted, MAX_QUEUED_BYTES, CONNECT_TIMEOUT_MILLIS);
+        settings.maxDescriptors(), maxAccepted, MAX_QUEUED_BYTES, CONNECT_TIMEOUT_MILLIS);
   }
 
   /** Runs the command and exits: 0 ended on request, 2 unusable configuration. */
@@ -107,24 +110,28 @@
     loop.after(0, front::start);
     loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
     wires.listen(
-        new InetSocketAddress(settings.listen().host(), settings.listen().port()), front::accepted);
+        new InetSocketAddress(settings.listenAddress().host(), settings.listenAddress().port()),
+        front::acceptCaller);
     loop.start();
     LOG.info(
-        "{} serves at {}:{}", settings.name(), settings.listen().host(), settings.listen().port());
+        "{} serves at {}:{}",
+        settings.name(),
+        settings.listenAddress().host(),
+        settings.listenAddress().port());
     terminated.await();
     loop.close();
   }
 
   private void terminate() {
-    LOG.info("told to end; {}", front.state());
+    LOG.info("told to end; {}", front.stateSummary());
     reloader.stop();
     front.terminate();
     awaitTermination();
   }
 
   private void awaitTermination() {
-    if (front.ended()) {
-      LOG.info("ends; {}; {}", front.state(), front.counters().news());
+    if (front.isTerminated()) {
+      LOG.info("ends; {}; {}", front.stateSummary(), front.counters().takeChanges());
       terminated.countDown();
     } else {
       loop.after(20, this::awaitTermination);
@@ -138,7 +145,7 @@
       try {
         PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(configurationFile));
         loop.execute(() -> front.reconfigure(settings));
-        LOG.info("configuration read again; journal service at {}", settings.journal());
+        LOG.info("configuration read again; journal service at {}", settings.journalAddress());
         return;
       } catch (WireException | IOException e) {
         problem = e.getMessage();
@@ -149,10 +156,10 @@
   }
 
   private void logState() {
-    String changedCounters = front.counters().news();
+    String changedCounters = front.counters().takeChanges();
     LOG.info(
         "{}; faults {}{}",
-        front.state(),
+        front.stateSummary(),
         loop.failedTasks(),
         changedCounters.isEmpty() ? "" : "; " + changedCounters);
     loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
--- a/serve/src/main/java/coveladder/serve/SocketWires.java
+++ b/serve/src/main/java/coveladder/serve/SocketWires.java
@@ -1,6 +1,6 @@
 package coveladder.serve;
 
-import coveladder.isupfront.Wires;
+import coveladder.isupfront.Transport;
 import coveladder.net.ByteBudget;
 import coveladder.net.EventLoop;
 import coveladder.net.Sockets;
@@ -14,14 +14,14 @@
  * Implements the connections of the protocol front end on sockets. Bytes that were read are handed
  * to the event loop; a budget limits those that wait for it.
  */
-final class SocketWires implements Wires, Streams.Listener {
+final class SocketWires implements Transport, Streams.Listener {
   /** Maximum number of bytes that were read and wait for the event loop. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
   private final EventLoop loop;
   private final Streams streams;
   private final ByteBudget unreadBudget = new ByteBudget(MAX_UNREAD_BYTES);
-  private Function<Wire, WireUser> acceptor = wire -> null;
+  private Function<Connection, ConnectionListener> acceptor = wire -> null;
 
   SocketWires(Sockets sockets, EventLoop loop, Streams.Limits limits) {
     this.loop = loop;
@@ -33,13 +33,14 @@
    *
    * @param newAcceptor called with each accepted connection; returns the receiver of its events
    */
-  void listen(InetSocketAddress address, Function<Wire, WireUser> newAcceptor) throws IOException {
+  void listen(InetSocketAddress address, Function<Connection, ConnectionListener> newAcceptor)
+      throws IOException {
     acceptor = newAcceptor;
     streams.listen(address);
   }
 
   /** A stream behind the interface of the front end. */
-  private final class SocketWire implements Wire {
+  private final class SocketWire implements Connection {
     private final Stream stream;
 
     SocketWire(Stream stream) {
@@ -63,7 +64,7 @@
   }
 
   @Override
-  public Wire connect(String host, int port, WireUser user) {
+  public Connection connect(String host, int port, ConnectionListener user) {
     Stream stream = streams.connect(new InetSocketAddress(host, port));
     stream.attachment(user);
     return new SocketWire(stream);
@@ -74,8 +75,8 @@
     streams.stopListening();
   }
 
-  private static WireUser user(Stream stream) {
-    return (WireUser) stream.attachment();
+  private static ConnectionListener user(Stream stream) {
+    return (ConnectionListener) stream.attachment();
   }
 
   @Override
@@ -112,7 +113,7 @@
         };
     if (!stream.outbound()) {
       loop.executePrioritized(deliver);
-    } else if (stream.attachment() instanceof WireUser wireUser && wireUser.urgent()) {
+    } else if (stream.attachment() instanceof ConnectionListener wireUser && wireUser.urgent()) {
       loop.executeUrgent(deliver);
     } else {
       loop.execute(deliver);
