--- /dev/null
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerConnection.java
@@ -0,0 +1,149 @@
+package coveladder.isupfront;
+
+import coveladder.isup.CallerCodec;
+import coveladder.isup.CallerFramer;
+import coveladder.isup.CallerMessage;
+import coveladder.isup.MalformedException;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import coveladder.isupfront.Transport.Loss;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/** One connection from a client that places calls. */
+final class CallerConnection implements ConnectionListener {
+  /** Maximum number of refused duplicate ids remembered. */
+  private static final int MAX_REFUSED_IDS = 64;
+
+  private final CallerRequests requests;
+  private final Connection connection;
+  private final CallerFramer framer;
+  private final Set<String> pendingCalls = new LinkedHashSet<>();
+  private final RecentIds refusedDuplicateIds = new RecentIds(MAX_REFUSED_IDS);
+  private final Map<String, ReleaseSender.Release> recentReleases = new LinkedHashMap<>();
+  private double lastMessageAt;
+  private boolean proven;
+  private boolean closed;
+  private int unusableMessages;
+  private int establishedCalls;
+
+  CallerConnection(
+      CallerRequests requests, Connection connection, int maxMessageBytes, double now) {
+    this.requests = requests;
+    this.connection = connection;
+    this.framer = new CallerFramer(maxMessageBytes);
+    this.lastMessageAt = now;
+  }
+
+  /** Ids of calls set up on this connection that have no final answer yet. */
+  Set<String> pendingCalls() {
+    return pendingCalls;
+  }
+
+  /** Releases sent recently on this connection and not acknowledged, by call id. */
+  Map<String, ReleaseSender.Release> recentReleases() {
+    return recentReleases;
+  }
+
+  /** Whether the connection has ended. */
+  boolean closed() {
+    return closed;
+  }
+
+  /** Whether it brought a test or a call that was established. */
+  boolean proven() {
+    return proven;
+  }
+
+  void markProven() {
+    proven = true;
+  }
+
+  /** Number of established calls that were set up or resumed on this connection. */
+  int establishedCalls() {
+    return establishedCalls;
+  }
+
+  /** Counts an established call and returns the new number. */
+  int countEstablished() {
+    proven = true;
+    return ++establishedCalls;
+  }
+
+  /**
+   * Remembers the id of a set-up refused here because another call has the same id. A later release
+   * on this connection refers to the refused set-up and must not end the other call.
+   */
+  void rememberRefusedDuplicate(String id) {
+    refusedDuplicateIds.add(id);
+  }
+
+  boolean wasRefusedAsDuplicate(String id) {
+    return refusedDuplicateIds.contains(id);
+  }
+
+  /** Counts an unusable set-up and returns the new number. */
+  int countUnusable() {
+    return ++unusableMessages;
+  }
+
+  /** Time since the last complete message, ms. */
+  double silenceMillis(double now) {
+    return now - lastMessageAt;
+  }
+
+  /** Whether part of a message has arrived. */
+  boolean hasPartialMessage() {
+    return framer.hasPartialMessage();
+  }
+
+  @Override
+  public void received(byte[] octets, double arrived) {
+    try {
+      framer.feed(octets, body -> onMessage(body, arrived));
+    } catch (MalformedException e) {
+      requests.closeUnreadable(this, e.getMessage());
+    }
+  }
+
+  private void onMessage(byte[] body, double arrived) {
+    if (closed) {
+      return;
+    }
+    lastMessageAt = arrived;
+    try {
+      requests.onMessage(this, CallerCodec.decode(body), arrived);
+    } catch (MalformedException e) {
+      requests.closeUnreadable(this, e.getMessage());
+    }
+  }
+
+  @Override
+  public void lost(Loss loss) {
+    closed = true;
+    requests.connectionLost(this);
+  }
+
+  /** Sends a message; resets the connection if too many octets are queued. */
+  boolean send(CallerMessage message) {
+    if (closed) {
+      return false;
+    }
+    boolean sent = connection.send(CallerCodec.encode(message));
+    if (!sent) {
+      connection.reset();
+      lost(Loss.CLOSED);
+    }
+    return sent;
+  }
+
+  /** Closes the connection. */
+  void close() {
+    if (!closed) {
+      connection.close();
+      lost(Loss.CLOSED);
+    }
+  }
+}
--- /dev/null
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
@@ -0,0 +1,357 @@
+package coveladder.isupfront;
+
+import coveladder.core.CallController;
+import coveladder.core.FinalAnswer;
+import coveladder.core.Scheduler;
+import coveladder.isup.CallerMessage;
+import coveladder.isup.Cause;
+import coveladder.isup.MalformedException;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Serves the requests of callers: set-ups, releases and tests, each answered once.
+ *
+ * <p>A RELEASE for a pending call abandons it only on the connection of its set-up. A RELEASE for
+ * an established call is accepted on any connection, except one on which a set-up with that id was
+ * refused as a duplicate.
+ */
+final class CallerRequests {
+  private final CallController controller;
+  private final Scheduler scheduler;
+  private final Limits limits;
+  private final SetUp.Reader reader;
+  private final ReleaseSender releases;
+  private final SwitchLinks switches;
+  private final Counters counters;
+  private final Set<CallerConnection> connections = new LinkedHashSet<>();
+  private final Map<String, CallerCall> calls = new HashMap<>();
+  private int pendingCount;
+  private boolean failingTests;
+  private boolean refusingSetUps;
+
+  /** A pending or established call. */
+  private static final class CallerCall {
+    final SetUp setUp;
+    final CallerConnection connection;
+    String description = "";
+
+    CallerCall(SetUp setUp, CallerConnection connection) {
+      this.setUp = setUp;
+      this.connection = connection;
+    }
+  }
+
+  CallerRequests(
+      CallController controller,
+      Scheduler scheduler,
+      Limits limits,
+      SetUp.Reader reader,
+      ReleaseSender releases,
+      SwitchLinks switches,
+      Counters counters) {
+    this.controller = controller;
+    this.scheduler = scheduler;
+    this.limits = limits;
+    this.reader = reader;
+    this.releases = releases;
+    this.switches = switches;
+    this.counters = counters;
+  }
+
+  // ---- Connections --------------------------------------------------------------------------
+
+  /**
+   * Accepts a connection. At the limit, the least used connection is closed, or the new one if all
+   * others have pending calls.
+   */
+  ConnectionListener acceptCaller(Connection accepted) {
+    CallerConnection connection =
+        new CallerConnection(this, accepted, limits.maxMessageBytes(), scheduler.now());
+    if (connections.size() >= limits.maxCallerConnections()) {
+      CallerConnection idle = leastUsedConnection();
+      (idle == null ? connection : idle).close();
+      counters.increment("caller links closed for room");
+    }
+    if (!connection.closed()) {
+      connections.add(connection);
+    }
+    return connection;
+  }
+
+  /**
+   * Returns the connection without pending calls that brought the fewest established calls, and of
+   * those the longest silent one; null if there is none. This protects regular callers from many
+   * connections that stay open and send little.
+   */
+  private CallerConnection leastUsedConnection() {
+    CallerConnection leastUsed = null;
+    for (CallerConnection connection : connections) {
+      if (connection.pendingCalls().isEmpty()
+          && (leastUsed == null || isLessUsed(connection, leastUsed))) {
+        leastUsed = connection;
+      }
+    }
+    return leastUsed;
+  }
+
+  private boolean isLessUsed(CallerConnection one, CallerConnection other) {
+    double now = scheduler.now();
+    return one.establishedCalls() < other.establishedCalls()
+        || one.establishedCalls() == other.establishedCalls()
+            && one.silenceMillis(now) > other.silenceMillis(now);
+  }
+
+  /**
+   * Closes connections that completed no message for too long and are within one, or have never
+   * been used for a test or an established call.
+   */
+  void closeSilentConnections() {
+    double now = scheduler.now();
+    for (CallerConnection connection : new ArrayList<>(connections)) {
+      boolean unused = !connection.proven() && connection.pendingCalls().isEmpty();
+      if (connection.silenceMillis(now) > limits.callerSilenceMillis()
+          && (connection.hasPartialMessage() || unused)) {
+        counters.increment("caller links closed as silent");
+        connection.close();
+      }
+    }
+  }
+
+  /** Abandons the pending calls of a connection that ended. */
+  void connectionLost(CallerConnection connection) {
+    connections.remove(connection);
+    for (String id : new ArrayList<>(connection.pendingCalls())) {
+      abandon(id);
+    }
+    releases.connectionLost(connection);
+  }
+
+  /** Closes a connection that delivered octets which are no message. */
+  void closeUnreadable(CallerConnection connection, String problem) {
+    counters.increment("caller links closed as unreadable: " + problem);
+    connection.close();
+  }
+
+  int connectionCount() {
+    return connections.size();
+  }
+
+  // ---- Messages -----------------------------------------------------------------------------
+
+  void onMessage(CallerConnection connection, CallerMessage message, double arrived)
+      throws MalformedException {
+    switch (message.type()) {
+      case CallerMessage.SET_UP -> onSetUp(connection, message, arrived);
+      case CallerMessage.RELEASE -> onRelease(connection, message);
+      case CallerMessage.RELEASE_HEARD -> releases.acknowledged(connection, message.callId());
+      case CallerMessage.TEST -> onTest(connection, message);
+      case CallerMessage.PROGRESS -> {}
+      default -> throw new MalformedException("unknown type " + message.type());
+    }
+  }
+
+  private void onTest(CallerConnection connection, CallerMessage message) {
+    int passed = !failingTests && switches.isStateKnown() ? 1 : 0;
+    connection.send(CallerMessage.withCause(CallerMessage.TESTED, message.callId(), passed));
+    connection.markProven();
+  }
+
+  private void onSetUp(CallerConnection connection, CallerMessage message, double arrived) {
+    String id = message.callId();
+    SetUp setUp;
+    try {
+      setUp = reader.read(message);
+    } catch (MalformedException e) {
+      counters.increment("set-ups that cannot be used: " + e.getMessage());
+      refuseUnusable(connection, id);
+      return;
+    }
+    if (!setUp.establishedAt().isEmpty()) {
+      resumeEstablished(connection, setUp);
+    } else if (controller.call(id) != null || calls.containsKey(id)) {
+      refuseDuplicate(connection, id);
+    } else if (refusingSetUps || pendingCount >= limits.maxPendingCalls()) {
+      connection.send(CallerMessage.withCause(CallerMessage.RELEASE, id, Cause.CONGESTION));
+    } else {
+      acceptSetUp(connection, setUp, arrived);
+    }
+  }
+
+  private void acceptSetUp(CallerConnection connection, SetUp setUp, double arrived) {
+    if (failingTests) {
+      counters.increment(setUp.transit() ? "late set-ups in transit" : "late set-ups of callers");
+    }
+    calls.put(setUp.id(), new CallerCall(setUp, connection));
+    connection.pendingCalls().add(setUp.id());
+    pendingCount++;
+    releases.setUpAccepted(connection);
+    double unreadMillis = Math.max(0, scheduler.now() - arrived);
+    controller.callArrived(setUp.toCall(Math.max(0, setUp.timeLeftMillis() - unreadMillis)));
+  }
+
+  /**
+   * Refuses a set-up that cannot be used. The connection is closed after too many of them, unless
+   * it has pending calls.
+   */
+  private void refuseUnusable(CallerConnection connection, String id) {
+    if (connection.pendingCalls().contains(id)) {
+      abandon(id);
+    }
+    connection.send(CallerMessage.withCause(CallerMessage.RELEASE, id, Cause.PROTOCOL_ERROR));
+    if (connection.countUnusable() >= limits.maxUnusableMessages()
+        && connection.pendingCalls().isEmpty()) {
+      connection.close();
+    }
+  }
+
+  /**
+   * Refuses a set-up whose id is in use. On the connection of the pending first set-up the caller
+   * cannot tell the two apart, so that one is abandoned as well and one release answers both. On
+   * another connection only the second is refused.
+   */
+  private void refuseDuplicate(CallerConnection connection, String id) {
+    counters.increment("set-ups under an id that is held");
+    connection.rememberRefusedDuplicate(id);
+    refuseUnusable(connection, id);
+  }
+
+  /**
+   * Resumes a call that was established before this controller started; its caller expects no
+   * answer.
+   */
+  private void resumeEstablished(CallerConnection connection, SetUp setUp) {
+    if (controller.call(setUp.id()) != null) {
+      return;
+    }
+    if (calls.size() >= limits.maxTrackedCalls()
+        || !switches.resume(setUp.id(), setUp.establishedAt())) {
+      counters.increment("calls said to stand at a switch that is not known");
+      releases.release(connection, setUp.id(), Cause.TEMPORARY_FAILURE);
+      return;
+    }
+    calls.put(setUp.id(), new CallerCall(setUp, connection));
+    releases.callEstablished(connection);
+    controller.resume(setUp.toCall(0), 0, setUp.establishedAt());
+  }
+
+  /**
+   * Handles a release: it abandons a pending call on the connection of its set-up, and ends an
+   * established call on any connection that was not refused the same id.
+   */
+  private void onRelease(CallerConnection connection, CallerMessage message) {
+    String id = message.callId();
+    connection.send(new CallerMessage(CallerMessage.RELEASE_HEARD, id, Map.of()));
+    if (connection.pendingCalls().contains(id)) {
+      abandon(id);
+    } else if (connection.wasRefusedAsDuplicate(id)) {
+      counters.increment("releases under an id that was another's");
+    } else {
+      CallerCall call = calls.get(id);
+      if (call != null && call.connection != connection && !call.connection.closed()) {
+        counters.increment("calls ended from another connection than theirs, which is open");
+      }
+      controller.callerReleased(id);
+    }
+  }
+
+  private void abandon(String id) {
+    markAnswered(id);
+    calls.remove(id);
+    controller.callerAbandoned(id);
+  }
+
+  private void markAnswered(String id) {
+    CallerCall call = calls.get(id);
+    if (call != null && call.connection.pendingCalls().remove(id)) {
+      pendingCount--;
+    }
+  }
+
+  // ---- Requests of the controller -----------------------------------------------------------
+
+  /** Returns the set-up of a tracked call; null if there is no such call. */
+  SetUp setUp(String id) {
+    CallerCall call = calls.get(id);
+    return call == null ? null : call.setUp;
+  }
+
+  /** Stores the description in a switch's answer until the answer is sent to the caller. */
+  void storeDescription(String id, String description) {
+    CallerCall call = calls.get(id);
+    if (call != null) {
+      call.description = description;
+    }
+  }
+
+  /** Sends the one final answer of a call. */
+  void answer(String id, FinalAnswer answer) {
+    CallerCall call = calls.get(id);
+    if (call == null) {
+      return;
+    }
+    markAnswered(id);
+    if (answer.kind() == FinalAnswer.Kind.STANDS) {
+      Map<Integer, byte[]> parameters = new LinkedHashMap<>();
+      parameters.put(CallerMessage.DESCRIPTION, call.description.getBytes(StandardCharsets.UTF_8));
+      call.description = "";
+      call.connection.send(new CallerMessage(CallerMessage.ANSWER, id, parameters));
+      releases.callEstablished(call.connection);
+    } else {
+      calls.remove(id);
+      call.connection.send(refusal(id, answer));
+    }
+  }
+
+  private static CallerMessage refusal(String id, FinalAnswer answer) {
+    CallerMessage message =
+        CallerMessage.withCause(CallerMessage.RELEASE, id, Outcomes.cause(answer));
+    if (answer.retryAfterMillis() > 0) {
+      String retryAfter = Long.toString((long) Math.ceil(answer.retryAfterMillis()));
+      message.parameters().put(CallerMessage.WAIT, retryAfter.getBytes(StandardCharsets.US_ASCII));
+    }
+    return message;
+  }
+
+  /** Releases an established call toward its caller. */
+  void release(String id, boolean disconnected) {
+    CallerCall call = calls.remove(id);
+    int cause = disconnected ? Cause.TEMPORARY_FAILURE : Cause.NORMAL_CLEARING;
+    releases.release(call == null ? null : call.connection, id, cause);
+  }
+
+  /** Forgets a call that the controller has removed. */
+  void callRemoved(String id) {
+    calls.remove(id);
+  }
+
+  /**
+   * Fails tests from now on, so that new calls are sent to other controllers; set-ups that arrive
+   * are still served.
+   */
+  void failTests() {
+    failingTests = true;
+  }
+
+  /** Refuses all new set-ups from now on. */
+  void refuseSetUps() {
+    refusingSetUps = true;
+  }
+
+  /** Closes all connections; no call is pending any more. */
+  void closeAll() {
+    new ArrayList<>(connections).forEach(CallerConnection::close);
+  }
+
+  /** Number of calls without a final answer. */
+  int pendingCount() {
+    return pendingCount;
+  }
+}
--- a/isupfront/src/main/java/coveladder/isupfront/Counters.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Counters.java
@@ -3,33 +3,42 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts of what was seen, by a sentence; each is told now and then, not at every time. */
+/** Counters of unusual events by description, logged periodically instead of at each event. */
 public final class Counters {
-  private static final int MOST_KINDS = 200;
+  /** Maximum number of counters: descriptions can contain parts of received messages. */
+  private static final int MAX_COUNTERS = 200;
+
   private final Map<String, Long> counts = new TreeMap<>();
-  private final Map<String, Long> told = new TreeMap<>();
+  private final Map<String, Long> lastReported = new TreeMap<>();
 
-  /** Counts one. */
-  public void increment(String what) {
-    if (counts.size() < MOST_KINDS || counts.containsKey(what)) {
-      counts.merge(what, 1L, Long::sum);
+  /** Increments a counter; a new one is ignored at the maximum number of counters. */
+  public void increment(String name) {
+    if (counts.size() < MAX_COUNTERS || counts.containsKey(name)) {
+      counts.merge(name, 1L, Long::sum);
     }
   }
 
-  /** How many there were. */
-  public long valueOf(String what) {
-    return counts.getOrDefault(what, 0L);
+  /** Current value of a counter, 0 if there is none of this name. */
+  public long valueOf(String name) {
+    return counts.getOrDefault(name, 0L);
   }
 
-  /** What has grown since the last time this was asked; empty where nothing has. */
+  /**
+   * Returns the counters that changed since the previous call as {@code name value; name value};
+   * empty if none did.
+   */
   public String takeChanges() {
-    StringBuilder news = new StringBuilder();
+    StringBuilder changes = new StringBuilder();
     counts.forEach(
-        (what, count) -> {
-          if (!count.equals(told.put(what, count))) {
-            news.append(news.length() == 0 ? "" : "; ").append(what).append(" ").append(count);
+        (name, count) -> {
+          if (!count.equals(lastReported.put(name, count))) {
+            changes
+                .append(changes.length() == 0 ? "" : "; ")
+                .append(name)
+                .append(" ")
+                .append(count);
           }
         });
-    return news.toString();
+    return changes.toString();
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -15,192 +15,213 @@
 import java.util.function.Function;
 
 /**
- * The call controller on the platform's protocol: joins callers, switches and the journal service
- * to the core. It decides nothing on calls; it opens no socket and reads no clock.
+ * The protocol front end of the call controller on the platform: joins callers, switches and the
+ * journal service to the core. It makes no routing decisions, opens no socket and reads no system
+ * clock.
  */
 public final class IsupFrontEnd implements Signalling {
-  private static final double SWEEP = 100;
+  private static final double CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * The platform's window at a planned restart: the longest deadline, counted as so long where it
-   * is longer, ms. It kills no sooner than 0.7 s after that.
+   * Upper limit of the shutdown window. The platform's window at a planned restart is the longest
+   * caller time-out, limited to this value; it kills the process no sooner than 0.7 s after it.
    */
-  private static final double LONGEST_WINDOW = 3_000;
+  private static final double MAX_SHUTDOWN_WINDOW_MILLIS = 3_000;
 
-  /** Share of the window in which set-ups are served; what comes later is refused at once. */
-  private static final double SERVED = 2.0 / 3;
+  /** Share of the shutdown window in which set-ups are still served; later ones are refused. */
+  private static final double SERVING_SHARE = 2.0 / 3;
 
-  /** Calls that end are released for so long after the last answers are due, ms. */
-  private static final double RELEASES = 100;
+  /** Time after the shutdown window in which ended calls are still released. */
+  private static final double RELEASE_PERIOD_MILLIS = 100;
 
-  /** A set-up that crosses the close of its connection by 50 ms is sent again elsewhere, ms. */
-  private static final double CROSSING = 100;
+  /**
+   * Time that the process stays after it has closed its connections. A caller sends a set-up that
+   * crosses the close by 50 ms again to another controller.
+   */
+  private static final double CLOSE_CROSSING_MILLIS = 100;
 
   private final PlatformSettings settings;
-  private final Scheduler clock;
+  private final Scheduler scheduler;
   private final Counters counters = new Counters();
   private final CallController controller;
   private final SwitchLinks switches;
-  private final CallerCalls callers;
+  private final CallerRequests callers;
   private final JournalFollower journal;
-  private final Transport wires;
-  private final double window;
-  private double endsSince = Double.NaN;
-  private double closedAt = Double.NaN;
+  private final Transport transport;
+  private final double shutdownWindowMillis;
+  private double terminationRequestedAt = Double.NaN;
+  private double connectionsClosedAt = Double.NaN;
 
   /**
-   * Makes a front with its controller.
+   * Creates a front end with its controller.
    *
-   * @param policies makes the policy that decides, given where its actions go
+   * @param policyFactory creates the policy, given the receiver of its actions
    */
   public IsupFrontEnd(
       PlatformSettings settings,
       Limits limits,
-      Transport wires,
-      Scheduler clock,
-      Function<CallPolicy.Actions, CallPolicy> policies) {
+      Transport transport,
+      Scheduler scheduler,
+      Function<CallPolicy.Actions, CallPolicy> policyFactory) {
     this.settings = settings;
-    this.clock = clock;
-    this.wires = wires;
-    this.window = window(settings.policySettings().classes());
+    this.scheduler = scheduler;
+    this.transport = transport;
+    this.shutdownWindowMillis = shutdownWindowMillis(settings.policySettings().classes());
     AttemptGuard guard =
         new AttemptGuard(settings.policySettings().guardTime(), settings.drainGraceMillis());
-    int self = settings.policySettings().localExchange();
+    int localExchange = settings.policySettings().localExchange();
     this.controller =
-        new CallController(settings.policySettings(), this, guard, new Ends(), policies);
+        new CallController(
+            settings.policySettings(), this, guard, new CallRemovalObserver(), policyFactory);
     this.switches =
-        new SwitchLinks(controller, clock, wires, limits, counters, self, guard, settings.seed());
+        new SwitchLinks(
+            controller,
+            scheduler,
+            transport,
+            limits,
+            counters,
+            localExchange,
+            guard,
+            settings.seed());
     SetUp.Reader reader =
         new SetUp.Reader(
             settings.classNames(), settings.policySettings().classes(), this::canBeCalled);
-    ReleaseKeeper releases = new ReleaseKeeper(clock);
-    this.callers = new CallerCalls(controller, clock, limits, reader, releases, switches, counters);
+    ReleaseSender releases = new ReleaseSender(scheduler);
+    this.callers =
+        new CallerRequests(controller, scheduler, limits, reader, releases, switches, counters);
     this.journal =
         new JournalFollower(
-            controller, clock, wires, counters, settings.journalAddress(), switches::follow);
-    switches.describeTo(callers::describe);
+            controller,
+            scheduler,
+            transport,
+            counters,
+            settings.journalAddress(),
+            switches::directoryChanged);
+    switches.setDescriptionListener(callers::storeDescription);
   }
 
-  private static double window(List<CallPolicy.CallClass> classes) {
-    double longest =
+  private static double shutdownWindowMillis(List<CallPolicy.CallClass> classes) {
+    double maxCallerTimeout =
         classes.stream().mapToDouble(CallPolicy.CallClass::callerTimeout).max().orElse(0);
-    return Math.min(LONGEST_WINDOW, longest);
+    return Math.min(MAX_SHUTDOWN_WINDOW_MILLIS, maxCallerTimeout);
   }
 
   /**
-   * Whether a number can be of an exchange. The own one is among them: while another controller is
-   * away, its callers come here, also with calls to this exchange, and where those go is the
-   * policy's matter. So are calls to one that the list lacks. Guards the core against numbers that
-   * are made up.
+   * Whether a number can be that of an exchange; protects the core from invented numbers. The local
+   * exchange and exchanges missing from the directory are included: while another controller is
+   * down, its callers use this one, also for calls to the local exchange, and the policy decides on
+   * such calls.
    */
   private boolean canBeCalled(int number) {
     return number >= 0 && number < settings.policySettings().controllerCount()
         || controller.directory().hasEverListed(number);
   }
 
-  /** Hears which calls are over. */
-  private final class Ends implements CallController.Observer {
+  /** Forgets the calls that the controller removes. */
+  private final class CallRemovalObserver implements CallController.Observer {
     @Override
     public void callRemoved(TrackedCall call) {
-      callers.ended(call.call().id());
+      callers.callRemoved(call.call().id());
     }
   }
 
-  /** Begins. */
+  /** Starts the controller, the journal follower and the periodic checks. */
   public void start() {
     controller.start();
     journal.start(settings.knownEvents(), settings.journalPosition());
-    sweep();
+    runPeriodicChecks();
   }
 
-  private void sweep() {
-    switches.sweep();
-    callers.sweep();
-    journal.sweep();
-    end();
-    clock.schedule(SWEEP, this::sweep);
+  private void runPeriodicChecks() {
+    switches.checkConnections();
+    callers.closeSilentConnections();
+    journal.resubscribeIfSilent();
+    advanceShutdown();
+    scheduler.schedule(CHECK_INTERVAL_MILLIS, this::runPeriodicChecks);
   }
 
-  /** A caller connected. */
-  public ConnectionListener acceptCaller(Connection wire) {
-    return callers.accepted(wire);
+  /** Accepts a caller's connection; returns the listener for its events. */
+  public ConnectionListener acceptCaller(Connection connection) {
+    return callers.acceptCaller(connection);
   }
 
-  /** A new configuration holds; of it, the address of the journal service is followed. */
-  public void reconfigure(PlatformSettings changed) {
-    journal.moved(changed.journalAddress());
+  /** Applies a new configuration, of which only the journal service's address takes effect. */
+  public void reconfigure(PlatformSettings newSettings) {
+    journal.moveTo(newSettings.journalAddress());
   }
 
-  /** The controller is to end: calls still come for a while, then the last are answered. */
+  /** Requests the end: set-ups are served for a while, then all pending calls are answered. */
   public void terminate() {
-    if (Double.isNaN(endsSince)) {
-      endsSince = clock.now();
+    if (Double.isNaN(terminationRequestedAt)) {
+      terminationRequestedAt = scheduler.now();
       callers.failTests();
     }
   }
 
   /**
-   * The end in steps, before the platform may kill: what comes late is refused, then whatever is
-   * unanswered gets its answer, then the connections are closed, so that nothing more is taken that
+   * Shuts down in steps before the platform may kill the process: refuses late set-ups, then
+   * answers all pending calls, then closes the connections, so that no set-up is accepted that
    * could not be answered.
    */
-  private void end() {
-    double since = clock.now() - endsSince;
-    if (since >= SERVED * window) {
-      callers.end();
+  private void advanceShutdown() {
+    double elapsedMillis = scheduler.now() - terminationRequestedAt;
+    if (elapsedMillis >= SERVING_SHARE * shutdownWindowMillis) {
+      callers.refuseSetUps();
     }
-    if (since >= window) {
+    if (elapsedMillis >= shutdownWindowMillis) {
       controller.shutDown();
     }
-    if (since >= window + RELEASES && Double.isNaN(closedAt)) {
-      closedAt = clock.now();
-      wires.stopListening();
+    if (elapsedMillis >= shutdownWindowMillis + RELEASE_PERIOD_MILLIS
+        && Double.isNaN(connectionsClosedAt)) {
+      connectionsClosedAt = scheduler.now();
+      transport.stopListening();
       switches.closeAll();
       callers.closeAll();
     }
   }
 
-  /** Whether it was told to end, every call has its answer, and no connection can bring more. */
+  /** Whether the shutdown is complete: connections are closed and every call has its answer. */
   public boolean isTerminated() {
-    return clock.now() - closedAt >= CROSSING && callers.open() == 0;
+    return scheduler.now() - connectionsClosedAt >= CLOSE_CROSSING_MILLIS
+        && callers.pendingCount() == 0;
   }
 
-  /** What was counted. */
+  /** Counters of unusual events. */
   public Counters counters() {
     return counters;
   }
 
-  /** One line on what is held. */
+  /** One line with the numbers of calls and connections, for the log. */
   public String stateSummary() {
     return "calls "
         + controller.callCount()
         + ", unanswered "
-        + callers.open()
+        + callers.pendingCount()
         + ", standing "
-        + switches.standing()
+        + switches.establishedCount()
         + ", caller links "
-        + callers.links()
+        + callers.connectionCount()
         + ", switch links "
-        + switches.connections()
+        + switches.connectionCount()
         + ", journal at "
-        + journal.pos();
+        + journal.position();
   }
 
-  /** The controller that it drives. */
+  /** The controller behind this front end. */
   public CallController controller() {
     return controller;
   }
 
-  // ---- What the core asks for ---------------------------------------------------------------
+  // ---- Requests of the core -----------------------------------------------------------------
 
   @Override
-  public void startAttempt(AttemptRequest order) {
-    switches.start(order, callers.setUp(order.call()));
+  public void startAttempt(AttemptRequest request) {
+    switches.startAttempt(request, callers.setUp(request.call()));
   }
 
   @Override
   public void cancelAttempt(String call, int attempt) {
-    switches.cancel(call, attempt);
+    switches.cancelAttempt(call, attempt);
   }
 
   @Override
@@ -214,13 +235,13 @@
   }
 
   @Override
-  public void releaseCaller(String call, boolean cut) {
-    callers.release(call, cut);
+  public void releaseCaller(String call, boolean disconnected) {
+    callers.release(call, disconnected);
   }
 
   @Override
-  public void probe(ExchangeDirectory.Entry exchange, double askedAt) {
-    switches.probe(exchange, askedAt);
+  public void probe(ExchangeDirectory.Entry exchange, double sentAt) {
+    switches.probe(exchange, sentAt);
   }
 
   @Override
@@ -230,11 +251,11 @@
 
   @Override
   public void subscribeToDirectory() {
-    // The journal service is followed from the start.
+    // The journal follower subscribes at the start.
   }
 
   @Override
   public Scheduler scheduler() {
-    return clock;
+    return scheduler;
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -16,47 +16,48 @@
 import java.util.List;
 
 /**
- * Follows the journal service: takes each event once and in order, and asks again from the last one
- * on a new connection where one breaks, falls silent, leaves one out or cannot be read.
+ * Subscribes to the journal service and applies each event once and in order. If a connection
+ * breaks, falls silent, skips an event or cannot be read, it subscribes again on a new connection
+ * from the last applied event.
  */
 final class JournalFollower {
-  /** A line comes each second; without one for so long, the connection is taken as dead, ms. */
-  private static final double SILENT = 1_500;
+  /** Time without a line after which a connection is dead; the service sends one each second. */
+  private static final double SILENCE_TIMEOUT_MILLIS = 1_500;
 
-  private static final double AGAIN_FIRST = 20;
-  private static final double AGAIN_MOST = 250;
-  private static final int LONGEST_LINE = 4 << 20;
+  private static final double MIN_RETRY_DELAY_MILLIS = 20;
+  private static final double MAX_RETRY_DELAY_MILLIS = 250;
+  private static final int MAX_LINE_BYTES = 4 << 20;
 
   private final CallController controller;
-  private final Scheduler clock;
-  private final Transport wires;
+  private final Scheduler scheduler;
+  private final Transport transport;
   private final Counters counters;
-  private final Runnable changed;
+  private final Runnable directoryListener;
   private PlatformSettings.Address address;
-  private long pos;
-  private Link link;
-  private double again = AGAIN_FIRST;
+  private long position;
+  private Subscription subscription;
+  private double retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
 
   JournalFollower(
       CallController controller,
-      Scheduler clock,
-      Transport wires,
+      Scheduler scheduler,
+      Transport transport,
       Counters counters,
       PlatformSettings.Address address,
-      Runnable changed) {
+      Runnable directoryListener) {
     this.controller = controller;
-    this.clock = clock;
-    this.wires = wires;
+    this.scheduler = scheduler;
+    this.transport = transport;
     this.counters = counters;
     this.address = address;
-    this.changed = changed;
+    this.directoryListener = directoryListener;
   }
 
-  /** One connection to the service. */
-  private final class Link implements ConnectionListener {
-    private final LineFramer framer = new LineFramer(LONGEST_LINE);
-    private Connection wire;
-    private double heard = clock.now();
+  /** One connection to the journal service. */
+  private final class Subscription implements ConnectionListener {
+    private final LineFramer framer = new LineFramer(MAX_LINE_BYTES);
+    private Connection connection;
+    private double lastLineAt = scheduler.now();
 
     @Override
     public boolean urgent() {
@@ -66,100 +67,109 @@
     @Override
     public void received(byte[] octets, double arrived) {
       try {
-        framer.feed(octets, this::line);
+        framer.feed(octets, this::onLine);
       } catch (MalformedException e) {
         unreadable(e.getMessage());
       }
     }
 
-    private void line(byte[] line) {
-      if (link != this) {
+    private void onLine(byte[] line) {
+      if (subscription != this) {
         return;
       }
-      heard = clock.now();
-      again = AGAIN_FIRST;
+      lastLineAt = scheduler.now();
+      retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
       try {
-        take(JournalLine.decode(line));
+        apply(JournalLine.decode(line));
       } catch (MalformedException | WireException e) {
         unreadable(e.getMessage());
       }
     }
 
-    private void unreadable(String found) {
-      counters.increment("journal lines that cannot be read: " + found);
-      askAgain(this, 0);
+    private void unreadable(String problem) {
+      counters.increment("journal lines that cannot be read: " + problem);
+      resubscribe(this, 0);
     }
 
     @Override
     public void lost(Loss loss) {
       counters.increment("journal connections lost");
-      if (link == this) {
-        link = null;
-        wait(loss == Loss.CLOSED ? 0 : again);
-        again = Math.min(AGAIN_MOST, 2 * again);
+      if (subscription == this) {
+        subscription = null;
+        reconnectAfter(loss == Loss.CLOSED ? 0 : retryDelayMillis);
+        retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelayMillis);
       }
     }
 
-    private void wait(double delay) {
-      clock.schedule(delay, JournalFollower.this::connect);
+    private void reconnectAfter(double delayMillis) {
+      scheduler.schedule(delayMillis, JournalFollower.this::connect);
     }
   }
 
-  /** Takes the events of the configuration in, and begins to follow. */
-  void start(List<JournalLine> known, long last) {
-    for (JournalLine line : known) {
-      pos = line.position() - 1;
-      take(line);
+  /**
+   * Applies the events of the configuration and subscribes to later ones.
+   *
+   * @param lastPosition position of the last event known
+   */
+  void start(List<JournalLine> knownEvents, long lastPosition) {
+    for (JournalLine line : knownEvents) {
+      position = line.position() - 1;
+      apply(line);
     }
-    pos = last;
+    position = lastPosition;
     connect();
   }
 
-  /** The service is at another address from now on; the numbers go on. */
-  void moved(PlatformSettings.Address to) {
-    address = to;
-    if (link != null) {
-      askAgain(link, 0);
+  /** Moves to another address of the service, continuing from the same position. */
+  void moveTo(PlatformSettings.Address newAddress) {
+    address = newAddress;
+    if (subscription != null) {
+      resubscribe(subscription, 0);
     }
   }
 
   private void connect() {
-    if (link != null) {
+    if (subscription != null) {
       return;
     }
-    link = new Link();
-    link.wire = wires.connect(address.host(), address.port(), link);
-    link.wire.send(("tail " + pos + "\n").getBytes(StandardCharsets.US_ASCII));
+    subscription = new Subscription();
+    subscription.connection = transport.connect(address.host(), address.port(), subscription);
+    subscription.connection.send(("tail " + position + "\n").getBytes(StandardCharsets.US_ASCII));
   }
 
-  private void askAgain(Link dead, double after) {
-    if (link == dead) {
-      dead.wire.reset();
-      link = null;
-      clock.schedule(after, this::connect);
+  private void resubscribe(Subscription failed, double delayMillis) {
+    if (subscription == failed) {
+      failed.connection.reset();
+      subscription = null;
+      scheduler.schedule(delayMillis, this::connect);
     }
   }
 
-  /** Looks whether the service has fallen silent. */
-  void sweep() {
-    if (link != null && clock.now() - link.heard > SILENT) {
+  /** Subscribes again if the service has fallen silent. */
+  void resubscribeIfSilent() {
+    if (subscription != null
+        && scheduler.now() - subscription.lastLineAt > SILENCE_TIMEOUT_MILLIS) {
       counters.increment("journal connections given up as silent");
-      askAgain(link, 0);
+      resubscribe(subscription, 0);
     }
   }
 
-  private void take(JournalLine line) {
-    if (line.position() <= pos) {
+  /**
+   * Applies an event to the exchange directory. A line that only carries a position ahead of the
+   * last event, or an event out of sequence, shows a skipped event and leads to a new subscription.
+   */
+  private void apply(JournalLine line) {
+    if (line.position() <= position) {
       return;
     }
-    if (!line.event() || line.position() != pos + 1) {
+    if (!line.event() || line.position() != position + 1) {
       counters.increment("journal events left out");
-      if (link != null) {
-        askAgain(link, AGAIN_FIRST);
+      if (subscription != null) {
+        resubscribe(subscription, MIN_RETRY_DELAY_MILLIS);
       }
       return;
     }
-    pos = line.position();
+    position = line.position();
     List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     for (JournalLine.Entry entry : line.entries()) {
       entries.add(
@@ -173,12 +183,12 @@
     }
     controller.updateDirectory(
         new ExchangeDirectory.Update(
-            line.snapshot(), controller.directory().version(), pos, entries));
-    changed.run();
+            line.snapshot(), controller.directory().version(), position, entries));
+    directoryListener.run();
   }
 
-  /** Number of the last event taken. */
-  long pos() {
-    return pos;
+  /** Position of the last applied event. */
+  long position() {
+    return position;
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/Limits.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Limits.java
@@ -1,20 +1,19 @@
 package coveladder.isupfront;
 
 /**
- * Bounds that protect the process. None of them decides on a call that is within them.
+ * Resource limits that protect the process. They do not affect calls within them.
  *
- * @param maxMessageBytes most octets of a message or line
- * @param maxCallerConnections most connections of callers
- * @param maxPendingCalls most calls without a final answer
- * @param maxTrackedCalls most calls that stand
- * @param callerSilenceMillis a caller's connection on which nothing whole came for so long is
- *     closed, ms
- * @param maxUnusableMessages a caller's connection is closed after so many messages that cannot be
- *     used
- * @param maxConnectionsPerSwitch most connections to one switch
- * @param partialLineMillis a connection within a message for so long is of no further use, ms
- * @param switchSilenceMillis a switch that was not heard for so long and cannot be reached is gone,
- *     ms
+ * @param maxMessageBytes maximum length of a message or line, octets
+ * @param maxCallerConnections maximum number of caller connections
+ * @param maxPendingCalls maximum number of calls without a final answer
+ * @param maxTrackedCalls number of pending and established calls from which on no call is resumed
+ * @param callerSilenceMillis time without a complete message after which a caller connection is
+ *     closed if it is within a message or was never used for a test or an established call, ms
+ * @param maxUnusableMessages number of unusable set-ups after which a caller connection is closed
+ * @param maxConnectionsPerSwitch maximum number of connections to one switch
+ * @param partialLineMillis time without progress within a line after which a switch connection is
+ *     reset, ms
+ * @param switchSilenceMillis time without any sign of a switch after which it is declared gone, ms
  */
 public record Limits(
     int maxMessageBytes,
@@ -26,16 +25,35 @@
     int maxConnectionsPerSwitch,
     double partialLineMillis,
     double switchSilenceMillis) {
-  /** Descriptors kept for the process, the listening socket, the journal and accepting. */
-  private static final int KEPT = 64;
+  /**
+   * Descriptors reserved for the process, the listening socket, the journal connection and
+   * connections being accepted.
+   */
+  private static final int RESERVED_DESCRIPTORS = 64;
 
-  /** The platform wants what ended unseen released within 8 s of its end, ms. */
-  private static final double UNHEARD = 7_000;
+  /**
+   * The platform requires that calls which ended unnoticed are released within 8 s of their end.
+   */
+  private static final double SWITCH_SILENCE_MILLIS = 7_000;
 
-  /** Bounds within so many descriptors, for a list of so many switches. */
+  /**
+   * Creates limits that fit a number of file descriptors.
+   *
+   * @param switches number of switches in the exchange directory
+   */
   public static Limits forDescriptors(int descriptors, int switches) {
-    int links = 3;
-    int callers = Math.max(16, descriptors - KEPT - links * (switches + 4));
-    return new Limits(16_384, callers, 3_000, 12_000, 2_000, 20, links, 300, UNHEARD);
+    int connectionsPerSwitch = 3;
+    int callerConnections =
+        Math.max(16, descriptors - RESERVED_DESCRIPTORS - connectionsPerSwitch * (switches + 4));
+    return new Limits(
+        16_384,
+        callerConnections,
+        3_000,
+        12_000,
+        2_000,
+        20,
+        connectionsPerSwitch,
+        300,
+        SWITCH_SILENCE_MILLIS);
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
@@ -9,9 +9,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The one table between the causes on the wire and the words of the core (docs/platform.md). */
+/** Maps between causes and figures on the wire and the core's types (docs/platform.md). */
 final class Outcomes {
-  private static final Map<String, String> OTHER_NAMES =
+  /** Alternative names of load figures, by their usual names. */
+  private static final Map<String, String> FIGURE_ALIASES =
       Map.of(
           "free", "x0",
           "size", "x1",
@@ -24,8 +25,8 @@
 
   private Outcomes() {}
 
-  /** A release of a switch before the answer. */
-  static Outcome before(int cause) {
+  /** Outcome of an attempt that the switch released before the answer. */
+  static Outcome beforeAnswer(int cause) {
     return switch (cause) {
       case Cause.NO_CIRCUIT -> Outcome.BUSY;
       case Cause.USER_BUSY, Cause.UNAVAILABLE -> Outcome.ERROR;
@@ -34,27 +35,27 @@
     };
   }
 
-  /** A release of a switch after the answer. */
-  static Outcome after(int cause) {
+  /** Outcome of an attempt that the switch released after the answer. */
+  static Outcome afterAnswer(int cause) {
     return cause == Cause.NORMAL_CLEARING ? Outcome.DONE : Outcome.RESET;
   }
 
-  /** The cause of a final answer that is no answer of a callee. */
+  /** Cause sent to the caller of a call that was not established. */
   static int cause(FinalAnswer answer) {
     Reason reason = answer.reason();
     return switch (answer.kind()) {
-      case REFUSED -> full(reason) ? Cause.CONGESTION : Cause.NO_CIRCUIT;
+      case REFUSED -> isProcessorFull(reason) ? Cause.CONGESTION : Cause.NO_CIRCUIT;
       case SHUT_DOWN -> Cause.CONGESTION;
       default -> reason == Reason.NUMBER_BUSY ? Cause.USER_BUSY : Cause.TEMPORARY_FAILURE;
     };
   }
 
-  private static boolean full(Reason reason) {
+  private static boolean isProcessorFull(Reason reason) {
     return reason == Reason.PROCESSOR_FULL || reason == Reason.FULL_BEYOND;
   }
 
-  /** Figures as in `x0:12;x1:40;queue:3`; those that cannot be read are not told. */
-  static Load load(String text) {
+  /** Parses load figures as in {@code x0:12;x1:40;queue:3}; unreadable ones are left unknown. */
+  static Load parseLoad(String text) {
     if (text == null || text.isEmpty()) {
       return Load.UNKNOWN;
     }
@@ -62,15 +63,15 @@
     for (String figure : text.split(";")) {
       int colon = figure.indexOf(':');
       if (colon > 0) {
-        figures.put(figure.substring(0, colon), number(figure.substring(colon + 1)));
+        figures.put(figure.substring(0, colon), parseNumber(figure.substring(colon + 1)));
       }
     }
     return ReportReader.load(
         name ->
-            figures.getOrDefault(name, figures.getOrDefault(OTHER_NAMES.get(name), Double.NaN)));
+            figures.getOrDefault(name, figures.getOrDefault(FIGURE_ALIASES.get(name), Double.NaN)));
   }
 
-  private static double number(String text) {
+  private static double parseNumber(String text) {
     try {
       double value = Double.parseDouble(text);
       return Double.isInfinite(value) ? Double.NaN : value;
--- a/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
+++ b/isupfront/src/main/java/coveladder/isupfront/PlatformSettings.java
@@ -13,18 +13,19 @@
 import java.util.Map;
 
 /**
- * What a call controller is told by its configuration file.
+ * The contents of a call controller's configuration file.
  *
- * @param name its name
- * @param listenAddress where callers connect
- * @param seed of all that is drawn
- * @param maxDescriptors most descriptors of the process
- * @param journalAddress where the journal service listens
- * @param journalPosition number of the last event known
- * @param knownEvents the events known
- * @param classNames names of the classes, by their numbers
- * @param drainGraceMillis time within which sends to a closed exchange must cease, ms
- * @param policySettings what the policy is told
+ * @param name name of the controller, used in the log
+ * @param listenAddress address that callers connect to
+ * @param seed seed of all random numbers
+ * @param maxDescriptors maximum number of file descriptors of the process
+ * @param journalAddress address of the journal service
+ * @param journalPosition position of the last journal event known
+ * @param knownEvents the journal events known
+ * @param classNames names of the call classes, indexed by class number
+ * @param drainGraceMillis time after the notice of a drain within which set-ups may still be sent,
+ *     ms
+ * @param policySettings settings of the policy
  */
 public record PlatformSettings(
     String name,
@@ -39,15 +40,19 @@
     CallPolicy.Settings policySettings) {
 
   /**
-   * An address.
+   * A network address.
    *
-   * @param host name or number
-   * @param port the port
+   * @param host host name or IP address
+   * @param port port number
    */
   public record Address(String host, int port) {
 
-    /** Reads `host:port`. */
-    static Address of(String path, String text) {
+    /**
+     * Parses {@code host:port}.
+     *
+     * @param path path of the setting, named in the error
+     */
+    static Address parse(String path, String text) {
       int colon = text.lastIndexOf(':');
       try {
         int port = Integer.parseInt(text.substring(colon + 1));
@@ -64,22 +69,23 @@
   /**
    * Reads a configuration file.
    *
-   * @throws WireException in one line: the path, what was found, what was expected
+   * @throws WireException with one line that names the setting, the value found and the value
+   *     expected
    */
   public static PlatformSettings read(byte[] document) {
     try {
       Map<String, String> paths = Json.flatten(document);
-      Fields all = new Fields("configuration", paths);
+      Fields configuration = new Fields("configuration", paths);
       Fields settings = new Fields("settings", underPrefix(paths, "settings."));
       return new PlatformSettings(
-          all.text("name", "controller"),
-          Address.of("listen", all.text("listen")),
-          seed(all.text("seed", "0")),
-          all.intWithin("limits.sockets", 1024, 64, 1 << 20),
-          Address.of("journal", all.text("journal")),
-          all.longValue("known.pos"),
+          configuration.text("name", "controller"),
+          Address.parse("listen", configuration.text("listen")),
+          parseSeed(configuration.text("seed", "0")),
+          configuration.intWithin("limits.sockets", 1024, 64, 1 << 20),
+          Address.parse("journal", configuration.text("journal")),
+          configuration.longValue("known.pos"),
           JournalLine.decodeAll(paths, "known.entries"),
-          classNames(settings),
+          readClassNames(settings),
           settings.numberWithin("rules.drainGrace", 0, 0, 1e9),
           SettingsReader.read(settings));
     } catch (MalformedException | IllegalArgumentException e) {
@@ -87,6 +93,7 @@
     }
   }
 
+  /** Returns the entries whose path has the prefix, with the prefix removed. */
   private static Map<String, String> underPrefix(Map<String, String> paths, String prefix) {
     Map<String, String> found = new HashMap<>();
     paths.forEach(
@@ -98,7 +105,7 @@
     return found;
   }
 
-  private static long seed(String text) {
+  private static long parseSeed(String text) {
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (NumberFormatException e) {
@@ -106,7 +113,7 @@
     }
   }
 
-  private static List<String> classNames(Fields settings) {
+  private static List<String> readClassNames(Fields settings) {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < settings.intValue("classes.count"); i++) {
       String path = "classes." + i + ".name";
--- a/isupfront/src/main/java/coveladder/isupfront/RecentIds.java
+++ b/isupfront/src/main/java/coveladder/isupfront/RecentIds.java
@@ -3,19 +3,19 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The latest ids of some kind, the oldest forgotten first. */
+/** A bounded set of ids that forgets the oldest first. */
 final class RecentIds {
-  private final int most;
+  private final int capacity;
   private final Set<String> ids = new LinkedHashSet<>();
 
-  /** Keeps so many at most. */
-  RecentIds(int most) {
-    this.most = most;
+  /** Creates a set of at most {@code capacity} ids. */
+  RecentIds(int capacity) {
+    this.capacity = capacity;
   }
 
   void add(String id) {
     ids.add(id);
-    if (ids.size() > most) {
+    if (ids.size() > capacity) {
       ids.remove(ids.iterator().next());
     }
   }
@@ -24,7 +24,7 @@
     return ids.contains(id);
   }
 
-  /** Forgets an id; whether it was kept. */
+  /** Removes an id; returns whether it was in the set. */
   boolean remove(String id) {
     return ids.remove(id);
   }
--- a/isupfront/src/main/java/coveladder/isupfront/SetUp.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SetUp.java
@@ -10,115 +10,122 @@
 import java.util.function.IntPredicate;
 
 /**
- * A caller's set-up, checked.
+ * A validated set-up of a caller.
  *
  * @param id the call's id
- * @param type number of its class
- * @param className its class
- * @param left how long the caller waits from when it sent it, ms
- * @param number the number called
- * @param description passed on as it is
- * @param destination number of the exchange called
- * @param width circuits on each group
- * @param transit whether it is in transit
- * @param again whether it stood, was cut and comes again
- * @param retry whether the caller marked it as a retry
- * @param at the switch that it stands at already; empty where it does not
+ * @param classNumber number of its call class, from 0
+ * @param className name of its call class
+ * @param timeLeftMillis time that the caller waits from when it sent the set-up, ms
+ * @param calledNumber the called number
+ * @param description session description, passed on unchanged
+ * @param destination number of the destination exchange
+ * @param width circuits seized on each circuit group
+ * @param transit whether another controller forwarded the call here
+ * @param returned whether the call was established before, was disconnected and is made again
+ * @param retry whether the caller marked the call as a retry
+ * @param establishedAt id of the switch at which the call is established already; empty if it is
+ *     not
  */
 record SetUp(
     String id,
-    int type,
+    int classNumber,
     String className,
-    double left,
-    String number,
+    double timeLeftMillis,
+    String calledNumber,
     String description,
     int destination,
     int width,
     boolean transit,
-    boolean again,
+    boolean returned,
     boolean retry,
-    String at) {
-  private static final int LONGEST_WORD = 64;
+    String establishedAt) {
+  private static final int MAX_NUMBER_LENGTH = 64;
 
-  /** No caller waits longer than so many times as its class gives up after. */
-  private static final double LONGEST_WAIT = 4;
+  /** Maximum time left, as a multiple of the caller time-out of the call class. */
+  private static final double MAX_TIME_LEFT_FACTOR = 4;
 
-  /** Reads set-ups by the settings' classes. */
+  /** Reads and validates set-ups. */
   static final class Reader {
-    private final List<String> names;
-    private final List<CallClass> kinds;
-    private final IntPredicate exchange;
-    private final int widest;
+    private final List<String> classNames;
+    private final List<CallClass> classes;
+    private final IntPredicate callableExchange;
+    private final int maxWidth;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param exchange whether a number is of an exchange that calls can go to
+     * @param classNames names of the call classes
+     * @param classes the call classes, in the same order
+     * @param callableExchange whether a number is that of an exchange to which calls can be made
      */
-    Reader(List<String> names, List<CallClass> kinds, IntPredicate exchange) {
-      this.names = names;
-      this.kinds = kinds;
-      this.exchange = exchange;
-      this.widest = kinds.stream().mapToInt(CallClass::width).max().orElse(1);
+    Reader(List<String> classNames, List<CallClass> classes, IntPredicate callableExchange) {
+      this.classNames = classNames;
+      this.classes = classes;
+      this.callableExchange = callableExchange;
+      this.maxWidth = classes.stream().mapToInt(CallClass::width).max().orElse(1);
     }
 
     /**
      * Reads a set-up.
      *
-     * @throws MalformedException naming what cannot be used
+     * @throws MalformedException naming the field that cannot be used
      */
     SetUp read(CallerMessage message) throws MalformedException {
       MalformedException.expect(!message.callId().equals("0000000000000000"), "no id");
       String name = message.text(CallerMessage.CLASS);
-      int type = names.indexOf(name);
-      MalformedException.expect(type >= 0, "unknown class");
-      String number = message.text(CallerMessage.NUMBER);
+      int classNumber = classNames.indexOf(name);
+      MalformedException.expect(classNumber >= 0, "unknown class");
+      String calledNumber = message.text(CallerMessage.NUMBER);
       MalformedException.expect(
-          number.length() <= LONGEST_WORD, "a number of " + number.length() + " characters");
-      Map<String, String> figures = figures(message.text(CallerMessage.FIGURES));
-      CallClass kind = kinds.get(type);
-      String at = figures.getOrDefault("at", "");
+          calledNumber.length() <= MAX_NUMBER_LENGTH,
+          "a number of " + calledNumber.length() + " characters");
+      Map<String, String> figures = parseFigures(message.text(CallerMessage.FIGURES));
+      CallClass callClass = classes.get(classNumber);
+      String establishedAt = figures.getOrDefault("at", "");
       SetUp setUp =
           new SetUp(
               message.callId(),
-              type,
+              classNumber,
               name,
-              left(message.text(CallerMessage.LEFT), kind, !at.isEmpty()),
-              number,
+              parseTimeLeft(message.text(CallerMessage.LEFT), callClass, !establishedAt.isEmpty()),
+              calledNumber,
               message.text(CallerMessage.DESCRIPTION),
-              whole("dest", figures.getOrDefault("dest", "-1")),
-              whole("width", figures.getOrDefault("width", Integer.toString(kind.width()))),
+              parseInteger("dest", figures.getOrDefault("dest", "-1")),
+              parseInteger(
+                  "width", figures.getOrDefault("width", Integer.toString(callClass.width()))),
               flag(figures, "transit"),
               flag(figures, "again"),
               message.text(CallerMessage.RETRY).equals("1"),
-              at);
+              establishedAt);
       check(setUp);
       return setUp;
     }
 
     private void check(SetUp setUp) throws MalformedException {
-      MalformedException.expect(setUp.width >= 1 && setUp.width <= widest, "width out of range");
-      boolean stands = !setUp.at.isEmpty();
+      MalformedException.expect(setUp.width >= 1 && setUp.width <= maxWidth, "width out of range");
+      boolean established = !setUp.establishedAt.isEmpty();
       MalformedException.expect(
-          stands || exchange.test(setUp.destination), "dest is no exchange to call");
+          established || callableExchange.test(setUp.destination), "dest is no exchange to call");
     }
 
-    private static double left(String text, CallClass kind, boolean stands)
+    private static double parseTimeLeft(String text, CallClass callClass, boolean established)
         throws MalformedException {
-      if (stands && text.isEmpty()) {
+      if (established && text.isEmpty()) {
         return 0;
       }
       try {
-        double left = Double.parseDouble(text);
+        double timeLeftMillis = Double.parseDouble(text);
         MalformedException.expect(
-            left > 0 && left <= LONGEST_WAIT * kind.callerTimeout(), "time left out of range");
-        return left;
+            timeLeftMillis > 0
+                && timeLeftMillis <= MAX_TIME_LEFT_FACTOR * callClass.callerTimeout(),
+            "time left out of range");
+        return timeLeftMillis;
       } catch (NumberFormatException e) {
         throw new MalformedException("time left is no number");
       }
     }
 
-    private static Map<String, String> figures(String text) throws MalformedException {
+    private static Map<String, String> parseFigures(String text) throws MalformedException {
       Map<String, String> figures = new HashMap<>();
       for (String figure : text.isEmpty() ? new String[0] : text.split(";")) {
         int colon = figure.indexOf(':');
@@ -134,7 +141,7 @@
       return figures.getOrDefault(name, "0").equals("1");
     }
 
-    private static int whole(String name, String text) throws MalformedException {
+    private static int parseInteger(String name, String text) throws MalformedException {
       try {
         return Integer.parseInt(text);
       } catch (NumberFormatException e) {
@@ -143,8 +150,21 @@
     }
   }
 
-  /** The call as the policy is told, with what is left of the caller's patience, ms. */
-  Call call(double patience) {
-    return new Call(id, type, patience, width, number, destination, transit, retry, again);
+  /**
+   * Returns the call as reported to the policy.
+   *
+   * @param patienceMillis time until the caller abandons, ms
+   */
+  Call toCall(double patienceMillis) {
+    return new Call(
+        id,
+        classNumber,
+        patienceMillis,
+        width,
+        calledNumber,
+        destination,
+        transit,
+        retry,
+        returned);
   }
 }
--- /dev/null
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchConnection.java
@@ -0,0 +1,130 @@
+package coveladder.isupfront;
+
+import coveladder.isup.Cause;
+import coveladder.isup.LineFramer;
+import coveladder.isup.MalformedException;
+import coveladder.isup.SwitchCodec;
+import coveladder.isup.SwitchMessage;
+import coveladder.isupfront.Transport.Connection;
+import coveladder.isupfront.Transport.ConnectionListener;
+import coveladder.isupfront.Transport.Loss;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** One connection to a switch, with the set-ups outstanding on it. */
+final class SwitchConnection implements ConnectionListener {
+  private final SwitchLink link;
+  private final LineFramer framer;
+  private final Map<String, SwitchLink.OutstandingAttempt> outstanding = new LinkedHashMap<>();
+  private Connection connection;
+  private boolean open;
+  private boolean ended;
+  private boolean unresponsive;
+  private double lastReceivedAt;
+  private double partialLineSince = Double.NaN;
+
+  SwitchConnection(SwitchLink link, int maxLineBytes, double now) {
+    this.link = link;
+    this.framer = new LineFramer(maxLineBytes);
+    this.lastReceivedAt = now;
+  }
+
+  /** Sets the transport connection that this object listens to. */
+  void attach(Connection newConnection) {
+    connection = newConnection;
+  }
+
+  /** Outstanding set-ups by call id. */
+  Map<String, SwitchLink.OutstandingAttempt> outstanding() {
+    return outstanding;
+  }
+
+  boolean isOpen() {
+    return open && !ended;
+  }
+
+  boolean isEnded() {
+    return ended;
+  }
+
+  /** Clock at which octets last arrived, or at which this object was created, ms. */
+  double lastReceivedAt() {
+    return lastReceivedAt;
+  }
+
+  /**
+   * Whether an attempt was cancelled or timed out while nothing arrived. Such a connection is given
+   * no new set-ups until octets arrive.
+   */
+  boolean unresponsive() {
+    return unresponsive;
+  }
+
+  void markUnresponsive() {
+    unresponsive = true;
+  }
+
+  /** Whether a line is incomplete and nothing arrived for longer than the time-out. */
+  boolean hasStalledLine(double now, double timeoutMillis) {
+    return now - partialLineSince > timeoutMillis;
+  }
+
+  /** Sends a message; returns false if too many octets are queued. */
+  boolean send(SwitchMessage message) {
+    return connection.send(SwitchCodec.encode(message));
+  }
+
+  /** Cancels a set-up or releases an established call. */
+  void sendClose(String id) {
+    send(SwitchMessage.withCode(SwitchMessage.Kind.CLOSE, id, Cause.NORMAL_CLEARING));
+  }
+
+  @Override
+  public void opened() {
+    open = true;
+    link.connectionOpened(this);
+  }
+
+  @Override
+  public void received(byte[] octets, double arrived) {
+    if (ended) {
+      return;
+    }
+    lastReceivedAt = arrived;
+    link.recordReceived(arrived);
+    unresponsive = false;
+    try {
+      framer.feed(octets, this::onLine);
+      partialLineSince = framer.hasPartialLine() ? arrived : Double.NaN;
+    } catch (MalformedException e) {
+      link.resetUnreadable(this, e.getMessage());
+    }
+  }
+
+  private void onLine(byte[] line) {
+    if (ended) {
+      return;
+    }
+    try {
+      link.onMessage(this, SwitchCodec.decode(line));
+    } catch (MalformedException e) {
+      link.resetUnreadable(this, e.getMessage());
+    }
+  }
+
+  @Override
+  public void lost(Loss loss) {
+    if (!ended) {
+      ended = true;
+      link.connectionLost(this, loss);
+    }
+  }
+
+  /** Resets the connection. */
+  void reset() {
+    if (!ended) {
+      ended = true;
+      connection.reset();
+    }
+  }
+}
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -17,81 +17,94 @@
 import java.util.Set;
 
 /**
- * A switch as this controller speaks with it: its connections, the set-ups out and the calls that
- * stand there. An answer counts only on the connection of its set-up; what concerns a standing call
- * may come on any.
+ * The signalling link to one switch: its connections, the set-ups outstanding on them, and the
+ * calls established at the switch.
+ *
+ * <p>The answer (READY) or refusal (CLOSE) of a set-up is accepted only on the connection on which
+ * the set-up was sent. The release (CLOSE) of an established call is accepted on any connection to
+ * the switch, and so are load reports (STATUS) and probe results (PROBED). A CLOSE that matches
+ * neither a set-up of its connection nor an established call is ignored.
  */
 final class SwitchLink {
-  /** A connection that broke is made again after about so long, ms. */
-  private static final double AGAIN_AFTER = 50;
+  /** Mean delay before a broken connection is replaced. */
+  private static final double RECONNECT_DELAY_MILLIS = 50;
 
-  /** One that was not made is tried again after about so long at first, and at most, ms. */
-  private static final double AGAIN_FIRST = 250;
+  /** Mean delay before the first retry of a failed connection attempt; it doubles at each retry. */
+  private static final double MIN_RETRY_DELAY_MILLIS = 250;
 
-  private static final double AGAIN_MOST = 1_000;
+  /** Upper limit of the mean retry delay. */
+  private static final double MAX_RETRY_DELAY_MILLIS = 1_000;
 
   /**
-   * Least silence of a switch where calls stand before a new connection tells whether it is there,
-   * ms; up to a third more by the draw. Where traffic is thin a switch in good order is silent for
-   * seconds, and its connections come from all controllers: sooner checks were half of them all.
+   * Minimum silence of a switch in use before a new connection is opened to check that it is
+   * reachable; the seed adds up to a third. With little traffic a healthy switch is silent for
+   * seconds, and all controllers check it: with a shorter time, checks made up half of its
+   * connections.
    */
-  private static final double CHECK_AFTER = 3_500;
+  private static final double SILENCE_CHECK_MILLIS = 3_500;
 
   /**
-   * A switch in service that turns connections away for so long is down, ms: the list says so
-   * sooner, as a rule, and callers must hear within 8 s of the end.
+   * Time over which a switch in service must refuse connections to be considered down. Usually the
+   * exchange directory reports the end earlier; callers must be told within 8 s of it.
    */
-  private static final double DOWN_AFTER = 6_000;
+  private static final double REFUSING_LIMIT_MILLIS = 6_000;
 
-  /** One that drains turns connections away while its calls stand on, until it stops, ms. */
-  private static final double DRAINED_AFTER = 10_000;
+  /**
+   * The same limit for a draining switch, which refuses connections while its established calls
+   * continue until it stops.
+   */
+  private static final double DRAINING_REFUSING_LIMIT_MILLIS = 10_000;
+
+  /** Maximum number of cancelled set-ups remembered, to release a late answer to one. */
+  private static final int MAX_CANCELLED_IDS = 2_048;
 
-  private static final int MOST_GIVEN_UP = 2_048;
-  private static final String NOTHING = "0000000000000000";
+  /** Call id of a probe. */
+  private static final String NO_CALL_ID = "0000000000000000";
 
   private final SwitchLinks links;
   private final PlatformSettings.Address address;
-  private final List<SwitchWire> wires = new ArrayList<>();
-  private final Map<String, Standing> standing = new LinkedHashMap<>();
-  private final RecentIds givenUp = new RecentIds(MOST_GIVEN_UP);
-  private final Set<String> toRelease = new LinkedHashSet<>();
+  private final List<SwitchConnection> connections = new ArrayList<>();
+  private final Map<String, EstablishedCall> established = new LinkedHashMap<>();
+  private final RecentIds cancelledIds = new RecentIds(MAX_CANCELLED_IDS);
+  private final Set<String> unsentReleases = new LinkedHashSet<>();
   private ExchangeDirectory.Entry entry;
   private boolean stateKnown;
-  private boolean followed = true;
-  private double heard;
-  private double turnedAwaySince = Double.NaN;
-  private boolean connectingAgain;
-  private double again = AGAIN_FIRST;
-  private final double checkAfter;
-
-  /** A set-up that is out. */
-  static final class Out {
-    final AttemptRequest order;
+  private boolean inDirectory = true;
+  private double lastHeardAt;
+  private double refusingSince = Double.NaN;
+  private boolean reconnectScheduled;
+  private double retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+  private final double silenceCheckMillis;
+
+  /** A set-up that is sent, or waits to be sent, and has not ended. */
+  static final class OutstandingAttempt {
+    final AttemptRequest request;
     final SetUp setUp;
-    final double since;
+    final double startedAt;
     boolean sent;
 
-    Out(AttemptRequest order, SetUp setUp, double since) {
-      this.order = order;
+    OutstandingAttempt(AttemptRequest request, SetUp setUp, double startedAt) {
+      this.request = request;
       this.setUp = setUp;
-      this.since = since;
+      this.startedAt = startedAt;
     }
   }
 
   /**
-   * A call that stands here.
+   * A call established at this switch.
    *
-   * @param attempt the set-up that made it
-   * @param since clock at which that set-up left, or the call was told to stand, ms
+   * @param attempt number of the attempt that established it
+   * @param startedAt clock at which that attempt was started, or at which the call was reported as
+   *     established, ms
    */
-  private record Standing(int attempt, double since) {}
+  private record EstablishedCall(int attempt, double startedAt) {}
 
   SwitchLink(ExchangeDirectory.Entry entry, SwitchLinks links) {
     this.entry = entry;
     this.links = links;
-    this.address = PlatformSettings.Address.of("address", entry.address());
-    this.heard = links.now();
-    this.checkAfter = CHECK_AFTER * (1 + links.draw() / 3);
+    this.address = PlatformSettings.Address.parse("address", entry.address());
+    this.lastHeardAt = links.now();
+    this.silenceCheckMillis = SILENCE_CHECK_MILLIS * (1 + links.nextRandom() / 3);
     connect();
   }
 
@@ -103,287 +116,325 @@
     return entry.address();
   }
 
-  /** Whether the state of the group toward it came. */
+  /** Whether the switch has reported the state of its circuit group. */
   boolean stateKnown() {
     return stateKnown;
   }
 
-  int wires() {
-    return wires.size();
+  int connectionCount() {
+    return connections.size();
   }
 
-  int standing() {
-    return standing.size();
+  int establishedCount() {
+    return established.size();
   }
 
   // ---- Connections --------------------------------------------------------------------------
 
-  private SwitchWire connect() {
-    SwitchWire wire = new SwitchWire(this, links.limits().maxMessageBytes(), links.now());
-    wires.add(wire);
-    wire.connecting(links.wires().connect(address.host(), address.port(), wire));
-    return wire;
+  private SwitchConnection connect() {
+    SwitchConnection connection =
+        new SwitchConnection(this, links.limits().maxMessageBytes(), links.now());
+    connections.add(connection);
+    connection.attach(links.transport().connect(address.host(), address.port(), connection));
+    return connection;
   }
 
-  /** The connection with the fewest set-ups out; another is made beside it where all have some. */
-  private SwitchWire pick() {
-    SwitchWire best = null;
-    for (SwitchWire wire : wires) {
-      boolean fewer = best == null || wire.outs().size() < best.outs().size();
-      if (wire.isOpen() && !wire.silent() && fewer) {
-        best = wire;
+  /**
+   * Returns the responsive connection with the fewest outstanding set-ups. If each has some,
+   * another connection is opened as well, up to the limit.
+   */
+  private SwitchConnection chooseConnection() {
+    SwitchConnection best = null;
+    for (SwitchConnection connection : connections) {
+      boolean lessLoaded =
+          best == null || connection.outstanding().size() < best.outstanding().size();
+      if (connection.isOpen() && !connection.unresponsive() && lessLoaded) {
+        best = connection;
       }
     }
-    boolean room = wires.size() < links.limits().maxConnectionsPerSwitch();
-    if (room && !making() && (best == null || !best.outs().isEmpty())) {
-      SwitchWire made = connect();
-      return best == null ? made : best;
+    boolean belowLimit = connections.size() < links.limits().maxConnectionsPerSwitch();
+    if (belowLimit && !isConnecting() && (best == null || !best.outstanding().isEmpty())) {
+      SwitchConnection added = connect();
+      return best == null ? added : best;
     }
-    return best != null ? best : wires.isEmpty() ? connect() : wires.get(wires.size() - 1);
+    return best != null
+        ? best
+        : connections.isEmpty() ? connect() : connections.get(connections.size() - 1);
   }
 
-  /** Whether a connection is being made. */
-  private boolean making() {
-    return wires.stream().anyMatch(wire -> !wire.isOpen());
+  /** Whether a connection is being established. */
+  private boolean isConnecting() {
+    return connections.stream().anyMatch(connection -> !connection.isOpen());
   }
 
-  /** Whether a call stands there, or a set-up is out. */
-  private boolean waits() {
-    return !standing.isEmpty() || wires.stream().anyMatch(wire -> !wire.outs().isEmpty());
+  /** Whether a call is established at the switch or a set-up is outstanding. */
+  private boolean isInUse() {
+    return !established.isEmpty()
+        || connections.stream().anyMatch(connection -> !connection.outstanding().isEmpty());
   }
 
-  /** Octets came from it, or a connection to it was made: it is there. */
-  void heard(double when) {
-    heard = Math.max(heard, when);
+  /** Records that the switch sent octets or accepted a connection: it is reachable. */
+  void recordReceived(double receivedAt) {
+    lastHeardAt = Math.max(lastHeardAt, receivedAt);
   }
 
-  void opened(SwitchWire wire) {
-    turnedAwaySince = Double.NaN;
-    again = AGAIN_FIRST;
-    heard(links.now());
-    for (String id : new ArrayList<>(toRelease)) {
-      toRelease.remove(id);
-      wire.end(id);
+  void connectionOpened(SwitchConnection connection) {
+    refusingSince = Double.NaN;
+    retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+    recordReceived(links.now());
+    for (String id : new ArrayList<>(unsentReleases)) {
+      unsentReleases.remove(id);
+      connection.sendClose(id);
     }
-    for (Out out : new ArrayList<>(wire.outs().values())) {
-      send(wire, out);
+    for (OutstandingAttempt attempt : new ArrayList<>(connection.outstanding().values())) {
+      send(connection, attempt);
     }
   }
 
-  void lost(SwitchWire wire, Loss loss) {
-    wires.remove(wire);
-    if (loss == Loss.TURNED_AWAY && Double.isNaN(turnedAwaySince)) {
-      turnedAwaySince = links.now();
+  void connectionLost(SwitchConnection connection, Loss loss) {
+    connections.remove(connection);
+    if (loss == Loss.TURNED_AWAY && Double.isNaN(refusingSince)) {
+      refusingSince = links.now();
     }
     if (loss == Loss.CLOSED) {
       links.counters().increment("switch connections lost");
     }
-    over(wire, loss == Loss.CLOSED);
-    connectAgain(loss == Loss.CLOSED ? AGAIN_AFTER : notMadeAgain());
+    endOutstanding(connection, loss == Loss.CLOSED);
+    scheduleReconnect(loss == Loss.CLOSED ? RECONNECT_DELAY_MILLIS : nextRetryDelay());
   }
 
   /**
-   * While a call stands there, how soon it is known to be gone depends on these tries; else they
-   * grow apart, as every controller makes them.
+   * Returns the delay before the next connection attempt. It stays at the minimum while a call is
+   * established at the switch, since these attempts detect that the switch is gone. Otherwise it
+   * grows, since every controller retries.
    */
-  private double notMadeAgain() {
-    double after = standing.isEmpty() ? again : AGAIN_FIRST;
-    again = Math.min(AGAIN_MOST, 2 * again);
-    return after;
-  }
-
-  private void over(SwitchWire wire, boolean wasOpen) {
-    List<Out> outs = new ArrayList<>(wire.outs().values());
-    wire.outs().clear();
-    for (Out out : outs) {
-      Outcome outcome = wasOpen && out.sent ? Outcome.RESET : Outcome.REFUSED;
-      links.over(out.order, outcome, Reason.NONE, Load.UNKNOWN);
+  private double nextRetryDelay() {
+    double delayMillis = established.isEmpty() ? retryDelayMillis : MIN_RETRY_DELAY_MILLIS;
+    retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelayMillis);
+    return delayMillis;
+  }
+
+  /** Ends the connection's outstanding set-ups: as reset if they may have reached the switch. */
+  private void endOutstanding(SwitchConnection connection, boolean wasOpen) {
+    List<OutstandingAttempt> attempts = new ArrayList<>(connection.outstanding().values());
+    connection.outstanding().clear();
+    for (OutstandingAttempt attempt : attempts) {
+      Outcome outcome = wasOpen && attempt.sent ? Outcome.RESET : Outcome.REFUSED;
+      links.attemptEnded(attempt.request, outcome, Reason.NONE, Load.UNKNOWN);
     }
   }
 
   /**
-   * Another connection takes the place of one that ended, also where others are open: a release
-   * that was on the ended one comes again on the next one made, and nowhere else.
+   * Schedules a replacement for a connection that ended, even if others are open: the switch
+   * repeats a release that was lost with the connection only on the next connection that is opened.
    */
-  private void connectAgain(double after) {
-    if (connectingAgain || !wantsAnother()) {
+  private void scheduleReconnect(double delayMillis) {
+    if (reconnectScheduled || !needsConnection()) {
       return;
     }
-    connectingAgain = true;
-    links.after(
-        after * (0.5 + links.draw()),
+    reconnectScheduled = true;
+    links.schedule(
+        delayMillis * (0.5 + links.nextRandom()),
         () -> {
-          connectingAgain = false;
-          if (wantsAnother()) {
+          reconnectScheduled = false;
+          if (needsConnection()) {
             connect();
           }
         });
   }
 
-  private boolean wantsAnother() {
-    boolean room = wires.size() < links.limits().maxConnectionsPerSwitch();
-    return followed && (wires.isEmpty() || room && !standing.isEmpty());
+  private boolean needsConnection() {
+    boolean belowLimit = connections.size() < links.limits().maxConnectionsPerSwitch();
+    return inDirectory && (connections.isEmpty() || belowLimit && !established.isEmpty());
   }
 
-  /** What came cannot be read: the connection is of no further use, for any of its set-ups. */
-  void unreadable(SwitchWire wire, String found) {
-    links.counters().increment("switch connections reset as unreadable: " + found);
-    drop(wire);
+  /**
+   * Resets a connection that delivered unreadable data, which makes it unusable for all of its
+   * set-ups.
+   */
+  void resetUnreadable(SwitchConnection connection, String problem) {
+    links.counters().increment("switch connections reset as unreadable: " + problem);
+    resetConnection(connection);
   }
 
-  private void drop(SwitchWire wire) {
-    wire.reset();
-    wires.remove(wire);
-    over(wire, true);
-    connectAgain(0);
+  private void resetConnection(SwitchConnection connection) {
+    connection.reset();
+    connections.remove(connection);
+    endOutstanding(connection, true);
+    scheduleReconnect(0);
   }
 
   /**
-   * Looks for connections that hang within a line, and for a machine that fell silent: a new
-   * connection to it tells whether it is there.
+   * Resets connections that stalled within a line, checks a silent switch with a new connection,
+   * and declares an unreachable switch gone.
    */
-  void sweep() {
+  void checkConnections() {
     double now = links.now();
-    for (SwitchWire wire : new ArrayList<>(wires)) {
-      if (wire.stuck(now, links.limits().partialLineMillis())) {
+    for (SwitchConnection connection : new ArrayList<>(connections)) {
+      if (connection.hasStalledLine(now, links.limits().partialLineMillis())) {
         links.counters().increment("switch connections reset as stuck within a line");
-        drop(wire);
-      } else if (wire.silent() && wire.outs().isEmpty() && wires.size() > 1) {
-        wire.reset();
-        wires.remove(wire);
+        resetConnection(connection);
+      } else if (connection.unresponsive()
+          && connection.outstanding().isEmpty()
+          && connections.size() > 1) {
+        connection.reset();
+        connections.remove(connection);
       }
     }
-    if (waits() && now - heard > checkAfter && !making() && !connectingAgain) {
-      check();
+    if (isInUse()
+        && now - lastHeardAt > silenceCheckMillis
+        && !isConnecting()
+        && !reconnectScheduled) {
+      openCheckConnection();
     }
-    boolean drains = entry.state() != CallPolicy.ExchangeState.IN_SERVICE;
-    double down = drains ? DRAINED_AFTER : DOWN_AFTER;
-    if (now - turnedAwaySince > down || silent(now)) {
-      gone("cannot be reached");
+    boolean draining = entry.state() != CallPolicy.ExchangeState.IN_SERVICE;
+    double refusingLimitMillis = draining ? DRAINING_REFUSING_LIMIT_MILLIS : REFUSING_LIMIT_MILLIS;
+    if (now - refusingSince > refusingLimitMillis || isSilent(now)) {
+      declareGone("cannot be reached");
     }
   }
 
-  /** Whether nothing came for long, nor a word that turned a connection away. */
-  private boolean silent(double now) {
-    return Double.isNaN(turnedAwaySince) && now - heard > links.limits().switchSilenceMillis();
+  /** Whether the switch sent nothing for too long and did not refuse a connection either. */
+  private boolean isSilent(double now) {
+    return Double.isNaN(refusingSince) && now - lastHeardAt > links.limits().switchSilenceMillis();
   }
 
-  private void check() {
-    SwitchWire oldest = wires.isEmpty() ? null : wires.get(0);
-    if (wires.size() >= links.limits().maxConnectionsPerSwitch()) {
-      if (!oldest.outs().isEmpty()) {
+  /**
+   * Opens a connection to check that the switch is reachable; at the limit it replaces the oldest,
+   * unless set-ups are outstanding on that one.
+   */
+  private void openCheckConnection() {
+    SwitchConnection oldest = connections.isEmpty() ? null : connections.get(0);
+    if (connections.size() >= links.limits().maxConnectionsPerSwitch()) {
+      if (!oldest.outstanding().isEmpty()) {
         return;
       }
       oldest.reset();
-      wires.remove(oldest);
+      connections.remove(oldest);
     }
     connect();
   }
 
   /**
-   * The list names a later start: what stood there before was cut with the old process. Guards
-   * against calls left standing where a machine fell silent and came back before it was given up.
+   * Updates the directory entry. A later start time shows a restart, which disconnected all calls
+   * established before it. Without this check, calls would be left over at a switch that fell
+   * silent and came back before it was declared gone.
    */
-  void listed(ExchangeDirectory.Entry now) {
-    boolean startedAgain = now.startedAt() > entry.startedAt();
-    entry = now;
-    if (startedAgain) {
+  void updateEntry(ExchangeDirectory.Entry newEntry) {
+    boolean restarted = newEntry.startedAt() > entry.startedAt();
+    entry = newEntry;
+    if (restarted) {
       links.counters().increment("switches that started again");
-      cutThoseBefore(now.startedAt());
+      disconnectCallsBefore(newEntry.startedAt());
     }
   }
 
-  private void cutThoseBefore(double time) {
-    Map<String, Standing> cut = new LinkedHashMap<>(standing);
-    cut.values().removeIf(call -> call.since() >= time);
-    standing.keySet().removeAll(cut.keySet());
-    cut.forEach((id, call) -> links.cut(id, call.attempt()));
+  private void disconnectCallsBefore(double startMillis) {
+    Map<String, EstablishedCall> disconnected = new LinkedHashMap<>(established);
+    disconnected.values().removeIf(call -> call.startedAt() >= startMillis);
+    established.keySet().removeAll(disconnected.keySet());
+    disconnected.forEach((id, call) -> links.establishedCallLost(id, call.attempt()));
   }
 
-  /** The switch is no more: what was out broke, and what stood there was cut. */
-  private void gone(String why) {
-    if (!waits()) {
+  /**
+   * Treats the switch as gone: resets its open connections, with the set-ups outstanding on them,
+   * and disconnects its established calls.
+   */
+  private void declareGone(String reason) {
+    if (!isInUse()) {
       return;
     }
-    links.counters().increment("switches taken as gone: " + why);
-    for (SwitchWire wire : new ArrayList<>(wires)) {
-      if (wire.isOpen()) {
-        drop(wire);
+    links.counters().increment("switches taken as gone: " + reason);
+    for (SwitchConnection connection : new ArrayList<>(connections)) {
+      if (connection.isOpen()) {
+        resetConnection(connection);
       }
     }
-    cutThoseBefore(Double.POSITIVE_INFINITY);
+    disconnectCallsBefore(Double.POSITIVE_INFINITY);
   }
 
-  /** The list holds it no more. */
-  void unfollow() {
-    followed = false;
-    gone("not on the list");
+  /** Ends the link, as the exchange directory no longer lists the switch. */
+  void removedFromDirectory() {
+    inDirectory = false;
+    declareGone("not on the list");
     close();
   }
 
-  /** Ends all connections to it, and makes no more. */
+  /** Resets all connections and opens no more; established calls continue. */
   void close() {
-    followed = false;
-    wires.forEach(SwitchWire::reset);
-    wires.clear();
+    inDirectory = false;
+    connections.forEach(SwitchConnection::reset);
+    connections.clear();
   }
 
-  // ---- What the controller asks for ---------------------------------------------------------
+  // ---- Requests of the controller -----------------------------------------------------------
 
   /**
-   * Puts a set-up on a connection. It leaves at the next turn, after all that is there to be heard:
-   * a caller who has gone by then, in whatever way, ends it unsent.
+   * Assigns a set-up to a connection. It is sent in the next turn of the event loop, after all
+   * input that has already arrived; if the caller releases or disconnects in that input, the set-up
+   * is never sent.
    */
-  void start(AttemptRequest order, SetUp setUp) {
-    Out out = new Out(order, setUp, links.now());
-    SwitchWire wire = pick();
-    wire.outs().put(order.call(), out);
-    givenUp.remove(order.call());
-    links.after(0, () -> leave(wire, out));
-  }
-
-  private void leave(SwitchWire wire, Out out) {
-    if (wire.isOpen() && !out.sent && wire.outs().get(out.order.call()) == out) {
-      send(wire, out);
+  void startAttempt(AttemptRequest request, SetUp setUp) {
+    OutstandingAttempt attempt = new OutstandingAttempt(request, setUp, links.now());
+    SwitchConnection connection = chooseConnection();
+    connection.outstanding().put(request.call(), attempt);
+    cancelledIds.remove(request.call());
+    links.schedule(0, () -> sendIfOutstanding(connection, attempt));
+  }
+
+  private void sendIfOutstanding(SwitchConnection connection, OutstandingAttempt attempt) {
+    if (connection.isOpen()
+        && !attempt.sent
+        && connection.outstanding().get(attempt.request.call()) == attempt) {
+      send(connection, attempt);
     }
   }
 
   /**
-   * The set-up leaves, unless the exchange was told as closed meanwhile and its grace is over: it
-   * may have waited for its connection since it was decided on.
+   * Sends a set-up, unless its exchange was reported as closed and the drain grace is over: the
+   * set-up may have waited for its connection since the routing decision.
    */
-  private void send(SwitchWire wire, Out out) {
+  private void send(SwitchConnection connection, OutstandingAttempt attempt) {
     if (!links.maySend(id())) {
-      wire.outs().remove(out.order.call());
-      links.over(out.order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN);
+      connection.outstanding().remove(attempt.request.call());
+      links.attemptEnded(attempt.request, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN);
       return;
     }
-    out.sent = true;
-    double left = Math.max(1, out.order.timeoutMillis() - (links.now() - out.since));
+    attempt.sent = true;
+    double timeLeftMillis =
+        Math.max(1, attempt.request.timeoutMillis() - (links.now() - attempt.startedAt));
     Map<String, String> attrs = new LinkedHashMap<>();
-    attrs.put("class", out.setUp.className());
-    attrs.put("key", out.setUp.number());
-    attrs.put("left", Long.toString(Math.round(left)));
+    attrs.put("class", attempt.setUp.className());
+    attrs.put("key", attempt.setUp.calledNumber());
+    attrs.put("left", Long.toString(Math.round(timeLeftMillis)));
     SwitchMessage message =
         new SwitchMessage(
-            SwitchMessage.Kind.OPEN, out.order.call(), attrs, -1, out.setUp.description());
-    if (!wire.send(message)) {
+            SwitchMessage.Kind.OPEN,
+            attempt.request.call(),
+            attrs,
+            -1,
+            attempt.setUp.description());
+    if (!connection.send(message)) {
       links.counters().increment("switch connections reset as too much waits");
-      links.after(0, () -> drop(wire));
+      links.schedule(0, () -> resetConnection(connection));
     }
   }
 
-  /** Gives a set-up up; whether it was out here. One that has not left never leaves. */
-  boolean giveUp(String id, int attempt) {
-    for (SwitchWire wire : wires) {
-      Out out = wire.outs().get(id);
-      if (out != null && out.order.attempt() == attempt) {
-        wire.outs().remove(id);
-        if (out.sent) {
-          wire.end(id);
-          givenUp.add(id);
-          if (wire.heard() < out.since) {
-            wire.nowSilent();
+  /**
+   * Cancels an attempt; one that was not sent yet never is.
+   *
+   * @return whether the attempt was outstanding on this link
+   */
+  boolean cancelAttempt(String id, int attempt) {
+    for (SwitchConnection connection : connections) {
+      OutstandingAttempt outstanding = connection.outstanding().get(id);
+      if (outstanding != null && outstanding.request.attempt() == attempt) {
+        connection.outstanding().remove(id);
+        if (outstanding.sent) {
+          connection.sendClose(id);
+          cancelledIds.add(id);
+          if (connection.lastReceivedAt() < outstanding.startedAt) {
+            connection.markUnresponsive();
           }
         }
         return true;
@@ -392,77 +443,86 @@
     return false;
   }
 
-  /** Ends a call, where it stands here. */
+  /** Releases a call, if it is established at this switch. */
   void release(String id) {
-    if (standing.remove(id) == null) {
+    if (established.remove(id) == null) {
       return;
     }
-    for (SwitchWire wire : wires) {
-      if (wire.isOpen() && !wire.silent()) {
-        wire.end(id);
+    for (SwitchConnection connection : connections) {
+      if (connection.isOpen() && !connection.unresponsive()) {
+        connection.sendClose(id);
         return;
       }
     }
-    toRelease.add(id);
+    unsentReleases.add(id);
   }
 
+  /** Tracks a call that a caller reported as established at this switch. */
   void resume(String id) {
-    standing.put(id, new Standing(0, links.now()));
+    established.put(id, new EstablishedCall(0, links.now()));
   }
 
   // ---- Messages -----------------------------------------------------------------------------
 
-  void message(SwitchWire wire, SwitchMessage message) {
+  void onMessage(SwitchConnection connection, SwitchMessage message) {
     switch (message.kind()) {
-      case READY -> ready(wire, message);
-      case CLOSE -> closed(wire, message);
+      case READY -> onReady(connection, message);
+      case CLOSE -> onClose(connection, message);
       case STATUS -> {
         stateKnown = true;
-        links.figures(id(), Outcomes.load(message.attrs().get("load")));
+        links.loadReported(id(), Outcomes.parseLoad(message.attrs().get("load")));
       }
-      case PROBED -> links.probed(id(), message.code() == 1);
+      case PROBED -> links.probeCompleted(id(), message.code() == 1);
       default -> {}
     }
   }
 
-  private void ready(SwitchWire wire, SwitchMessage message) {
+  /**
+   * Handles an answer. On the connection of its set-up it establishes the call; on any connection,
+   * a late answer to a cancelled set-up is released. All other answers are ignored.
+   */
+  private void onReady(SwitchConnection connection, SwitchMessage message) {
     String id = message.sid();
-    Out out = wire.outs().get(id);
-    if (out != null && out.sent) {
+    OutstandingAttempt attempt = connection.outstanding().get(id);
+    if (attempt != null && attempt.sent) {
       if (message.text() == null) {
-        unreadable(wire, "an answer without a description");
+        resetUnreadable(connection, "an answer without a description");
         return;
       }
-      wire.outs().remove(id);
-      standing.put(id, new Standing(out.order.attempt(), out.since));
-      links.stands(out.order, message.text());
-    } else if (!standing.containsKey(id) && givenUp.remove(id) && !isOut(id)) {
-      wire.end(id);
+      connection.outstanding().remove(id);
+      established.put(id, new EstablishedCall(attempt.request.attempt(), attempt.startedAt));
+      links.attemptAnswered(attempt.request, message.text());
+    } else if (!established.containsKey(id) && cancelledIds.remove(id) && !isOutstanding(id)) {
+      connection.sendClose(id);
     }
   }
 
-  private boolean isOut(String id) {
-    return wires.stream().anyMatch(wire -> wire.outs().containsKey(id));
+  private boolean isOutstanding(String id) {
+    return connections.stream().anyMatch(connection -> connection.outstanding().containsKey(id));
   }
 
-  private void closed(SwitchWire wire, SwitchMessage message) {
+  /**
+   * Handles a refusal or release. On the connection of its set-up it ends the attempt; on any
+   * connection it ends an established call.
+   */
+  private void onClose(SwitchConnection connection, SwitchMessage message) {
     String id = message.sid();
-    Out out = wire.outs().get(id);
-    Load load = Outcomes.load(message.attrs().get("load"));
-    if (out != null && out.sent) {
-      wire.outs().remove(id);
+    OutstandingAttempt attempt = connection.outstanding().get(id);
+    Load load = Outcomes.parseLoad(message.attrs().get("load"));
+    if (attempt != null && attempt.sent) {
+      connection.outstanding().remove(id);
       Reason reason = ReportReader.reason(message.attrs().getOrDefault("note", ""));
-      links.over(out.order, Outcomes.before(message.code()), reason, load);
+      links.attemptEnded(attempt.request, Outcomes.beforeAnswer(message.code()), reason, load);
       return;
     }
-    Standing call = standing.remove(id);
+    EstablishedCall call = established.remove(id);
     if (call != null) {
-      links.standingOver(id, call.attempt(), Outcomes.after(message.code()), load);
+      links.establishedCallEnded(id, call.attempt(), Outcomes.afterAnswer(message.code()), load);
     }
   }
 
-  /** Asks for a sign of life. */
+  /** Sends a probe. */
   void probe() {
-    pick().send(SwitchMessage.withCode(SwitchMessage.Kind.PROBE, NOTHING, 0));
+    chooseConnection().send(SwitchMessage.withCode(SwitchMessage.Kind.PROBE, NO_CALL_ID, 0));
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
@@ -15,51 +15,58 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 
-/** All switches of the list but the own one, each with its connections. */
+/**
+ * The links to all switches of the exchange directory except the local one. Joins them to the
+ * controller.
+ */
 final class SwitchLinks {
-  private static final double KNOWN_WITHIN = 1_000;
+  /** Time after the start at which the controller stops waiting for the state of all groups. */
+  private static final double STATE_WAIT_MILLIS = 1_000;
 
   private final CallController controller;
-  private final Scheduler clock;
-  private final Transport wires;
+  private final Scheduler scheduler;
+  private final Transport transport;
   private final Limits limits;
   private final Counters counters;
-  private final int self;
+  private final int localExchange;
   private final AttemptGuard guard;
   private final SplittableRandom random;
   private final Map<String, SwitchLink> links = new LinkedHashMap<>();
-  private final Map<String, SwitchLink> byCall = new LinkedHashMap<>();
-  private final Map<String, Double> probes = new LinkedHashMap<>();
-  private BiConsumer<String, String> descriptions = (call, text) -> {};
-  private final double began;
+  private final Map<String, SwitchLink> linkByCall = new LinkedHashMap<>();
+  private final Map<String, Double> probeSentAt = new LinkedHashMap<>();
+  private BiConsumer<String, String> descriptionListener = (call, text) -> {};
+  private final double startedAt;
 
   SwitchLinks(
       CallController controller,
-      Scheduler clock,
-      Transport wires,
+      Scheduler scheduler,
+      Transport transport,
       Limits limits,
       Counters counters,
-      int self,
+      int localExchange,
       AttemptGuard guard,
       long seed) {
     this.controller = controller;
-    this.clock = clock;
-    this.wires = wires;
+    this.scheduler = scheduler;
+    this.transport = transport;
     this.limits = limits;
     this.counters = counters;
-    this.self = self;
+    this.localExchange = localExchange;
     this.guard = guard;
     this.random = new SplittableRandom(seed);
-    this.began = clock.now();
+    this.startedAt = scheduler.now();
   }
 
-  /** Where the descriptions of answers go, just before the controller hears of each. */
-  void describeTo(BiConsumer<String, String> taker) {
-    descriptions = taker;
+  /**
+   * Sets the receiver of the descriptions in answers, called with the call id and the description
+   * just before the answer is reported to the controller.
+   */
+  void setDescriptionListener(BiConsumer<String, String> listener) {
+    descriptionListener = listener;
   }
 
-  Transport wires() {
-    return wires;
+  Transport transport() {
+    return transport;
   }
 
   Limits limits() {
@@ -71,75 +78,79 @@
   }
 
   double now() {
-    return clock.now();
+    return scheduler.now();
   }
 
-  /** Whether something new may go to a switch: it is in service, or within its grace. */
+  /** Whether a set-up may be sent to an exchange: it is in service or within its drain grace. */
   boolean maySend(String exchange) {
-    return guard.withinDrainGrace(controller.directory().closedSince(exchange), clock.now());
+    return guard.withinDrainGrace(controller.directory().closedSince(exchange), scheduler.now());
   }
 
-  /** A number from 0 to 1, drawn from the seed: what all controllers do is spread by it. */
-  double draw() {
+  /** Returns a seeded random number from 0 to 1, which spreads what all controllers do. */
+  double nextRandom() {
     return random.nextDouble();
   }
 
-  void after(double delay, Runnable task) {
-    clock.schedule(delay, task);
+  void schedule(double delayMillis, Runnable task) {
+    scheduler.schedule(delayMillis, task);
   }
 
-  /** The list has changed. */
-  void follow() {
-    ExchangeDirectory list = controller.directory();
+  /** Creates, updates and ends links as the exchange directory has changed. */
+  void directoryChanged() {
+    ExchangeDirectory directory = controller.directory();
     for (SwitchLink link : new ArrayList<>(links.values())) {
-      ExchangeDirectory.Entry entry = list.byId(link.id());
+      ExchangeDirectory.Entry entry = directory.byId(link.id());
       if (entry == null || !entry.address().equals(link.address())) {
         links.remove(link.id());
-        link.unfollow();
+        link.removedFromDirectory();
       }
     }
-    for (ExchangeDirectory.Entry entry : list.entries()) {
-      if (entry.number() != self && entry.state() != ExchangeState.GONE) {
-        links.computeIfAbsent(entry.id(), id -> new SwitchLink(entry, this)).listed(entry);
+    for (ExchangeDirectory.Entry entry : directory.entries()) {
+      if (entry.number() != localExchange && entry.state() != ExchangeState.GONE) {
+        links.computeIfAbsent(entry.id(), id -> new SwitchLink(entry, this)).updateEntry(entry);
       }
     }
   }
 
-  /** Whether the state of all groups is known, or should have been by now. */
-  boolean known() {
-    return clock.now() - began > KNOWN_WITHIN
+  /** Whether the state of all circuit groups is known, or the wait for it is over. */
+  boolean isStateKnown() {
+    return scheduler.now() - startedAt > STATE_WAIT_MILLIS
         || !links.isEmpty() && links.values().stream().allMatch(SwitchLink::stateKnown);
   }
 
-  /** Closes all connections; calls that stand go on, and what ends them comes on the next ones. */
+  /**
+   * Closes all connections. Established calls continue; their releases arrive on the connections
+   * opened next.
+   */
   void closeAll() {
     links.values().forEach(SwitchLink::close);
     links.clear();
   }
 
-  /** Looks after all connections. */
-  void sweep() {
-    new ArrayList<>(links.values()).forEach(SwitchLink::sweep);
+  /** Checks the connections of all links. */
+  void checkConnections() {
+    new ArrayList<>(links.values()).forEach(SwitchLink::checkConnections);
   }
 
-  // ---- What the controller asks for ---------------------------------------------------------
+  // ---- Requests of the controller -----------------------------------------------------------
 
-  void start(AttemptRequest order, SetUp setUp) {
-    SwitchLink link = links.get(order.nextExchange().id());
+  void startAttempt(AttemptRequest request, SetUp setUp) {
+    SwitchLink link = links.get(request.nextExchange().id());
     if (link == null || setUp == null) {
-      clock.schedule(0, () -> over(order, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN));
+      scheduler.schedule(
+          0, () -> attemptEnded(request, Outcome.REFUSED, Reason.NONE, Load.UNKNOWN));
       return;
     }
-    byCall.put(order.call(), link);
-    link.start(order, setUp);
+    linkByCall.put(request.call(), link);
+    link.startAttempt(request, setUp);
   }
 
-  /** Gives a set-up up: it is over as soon as this is written. */
-  void cancel(String call, int attempt) {
-    SwitchLink link = byCall.get(call);
-    if (link != null && link.giveUp(call, attempt)) {
-      byCall.remove(call);
-      clock.schedule(
+  /** Cancels an attempt, which ends in the next turn of the event loop without a reply. */
+  void cancelAttempt(String call, int attempt) {
+    SwitchLink link = linkByCall.get(call);
+    if (link != null && link.cancelAttempt(call, attempt)) {
+      linkByCall.remove(call);
+      scheduler.schedule(
           0,
           () ->
               controller.attemptEnded(
@@ -148,69 +159,69 @@
   }
 
   void release(String call) {
-    SwitchLink link = byCall.remove(call);
+    SwitchLink link = linkByCall.remove(call);
     if (link != null) {
       link.release(call);
     }
   }
 
-  /** Takes a call up again that stands at a switch; false where the list has no such switch. */
+  /** Resumes a call established at a switch; returns false if there is no link to that switch. */
   boolean resume(String call, String exchange) {
     SwitchLink link = links.get(exchange);
     if (link != null) {
-      byCall.put(call, link);
+      linkByCall.put(call, link);
       link.resume(call);
     }
     return link != null;
   }
 
-  void probe(ExchangeDirectory.Entry exchange, double askedAt) {
+  void probe(ExchangeDirectory.Entry exchange, double sentAt) {
     SwitchLink link = links.get(exchange.id());
     if (link != null) {
-      probes.put(exchange.id(), askedAt);
+      probeSentAt.put(exchange.id(), sentAt);
       link.probe();
     }
   }
 
-  // ---- What the links tell ------------------------------------------------------------------
+  // ---- Reports of the links -----------------------------------------------------------------
 
-  void stands(AttemptRequest order, String description) {
-    descriptions.accept(order.call(), description);
-    controller.attemptAnswered(order.call(), order.attempt());
+  void attemptAnswered(AttemptRequest request, String description) {
+    descriptionListener.accept(request.call(), description);
+    controller.attemptAnswered(request.call(), request.attempt());
   }
 
-  void over(AttemptRequest order, Outcome outcome, Reason reason, Load load) {
-    byCall.remove(order.call());
-    controller.attemptEnded(order.call(), order.attempt(), outcome, reason, 0, load);
+  void attemptEnded(AttemptRequest request, Outcome outcome, Reason reason, Load load) {
+    linkByCall.remove(request.call());
+    controller.attemptEnded(request.call(), request.attempt(), outcome, reason, 0, load);
   }
 
-  void standingOver(String call, int attempt, Outcome outcome, Load load) {
-    byCall.remove(call);
+  void establishedCallEnded(String call, int attempt, Outcome outcome, Load load) {
+    linkByCall.remove(call);
     controller.attemptEnded(call, attempt, outcome, Reason.NONE, 0, load);
   }
 
-  void cut(String call, int attempt) {
-    standingOver(call, attempt, Outcome.RESET, Load.UNKNOWN);
+  void establishedCallLost(String call, int attempt) {
+    establishedCallEnded(call, attempt, Outcome.RESET, Load.UNKNOWN);
   }
 
-  void figures(String exchange, Load load) {
+  void loadReported(String exchange, Load load) {
     controller.unsolicitedLoadReported(exchange, load);
   }
 
-  void probed(String exchange, boolean good) {
-    Double askedAt = probes.remove(exchange);
-    if (askedAt != null) {
-      controller.probeCompleted(exchange, good, askedAt);
+  void probeCompleted(String exchange, boolean passed) {
+    Double sentAt = probeSentAt.remove(exchange);
+    if (sentAt != null) {
+      controller.probeCompleted(exchange, passed, sentAt);
     }
   }
 
-  /** Connections to switches. */
-  int connections() {
-    return links.values().stream().mapToInt(SwitchLink::wires).sum();
+  /** Number of connections to switches. */
+  int connectionCount() {
+    return links.values().stream().mapToInt(SwitchLink::connectionCount).sum();
   }
 
-  /** Calls that stand. */
-  int standing() {
-    return links.values().stream().mapToInt(SwitchLink::standing).sum();
+  /** Number of established calls. */
+  int establishedCount() {
+    return links.values().stream().mapToInt(SwitchLink::establishedCount).sum();
   }
 }
--- a/isupfront/src/main/java/coveladder/isupfront/Transport.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Transport.java
@@ -1,54 +1,62 @@
 package coveladder.isupfront;
 
-/** What the front asks of the network. All happens in one thread. */
+/** The network as the front end uses it. All methods and events run in one thread. */
 public interface Transport {
 
-  /** Begins to connect; what comes of it is told later, never within this call. */
-  Connection connect(String host, int port, ConnectionListener user);
+  /** Starts to connect; the result is reported later, never during this call. */
+  Connection connect(String host, int port, ConnectionListener listener);
 
-  /** Takes no more connections of callers. */
+  /** Accepts no more connections of callers. */
   void stopListening();
 
-  /** One connection. */
+  /** A connection. */
   interface Connection {
-    /** Sends octets, or keeps them until the connection is made; false where too much waits. */
+    /**
+     * Sends octets, or queues them until the connection is established.
+     *
+     * @return false if too many octets are queued
+     */
     boolean send(byte[] octets);
 
-    /** Closes once what waits has left; its user hears no more of it. */
+    /** Closes the connection once queued octets are sent; its listener gets no more events. */
     void close();
 
-    /** Closes with a reset; its user hears no more of it. */
+    /** Resets the connection; its listener gets no more events. */
     void reset();
   }
 
-  /** Hears what happens on one connection. */
+  /** Receives the events of one connection. */
   interface ConnectionListener {
-    /** It is made. */
+    /** The connection was established. */
     default void opened() {}
 
     /**
-     * Octets came.
+     * Octets arrived.
      *
+     * @param octets the octets received
      * @param arrived clock at which they were read, ms
      */
     void received(byte[] octets, double arrived);
 
-    /** Whether what it brings is heard before all else that waits, as the list's news is. */
+    /**
+     * Whether octets of this connection are processed before all other waiting events, as updates
+     * of the exchange directory are.
+     */
     default boolean urgent() {
       return false;
     }
 
-    /** It is no more, without this side's doing. */
+    /** The connection failed or was closed by the remote end. */
     void lost(Loss loss);
   }
 
-  /** Why a connection is no more. */
+  /** Why a connection was lost. */
   enum Loss {
-    /** It was closed or broke. */
+    /** It was established and then closed or broken. */
     CLOSED,
-    /** The other end turned it away: nothing listens there. */
+    /** The remote end refused it: nothing listens there. */
     TURNED_AWAY,
-    /** It was not made in time. */
+    /** It was not established in time. */
     NOT_MADE
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
@@ -33,11 +33,11 @@
   void theSameFigures() {
     String[] columns = {"free", "size", "hold_back"};
     Load adapters = ReportReader.load(new double[] {12, 40, 0.25}, columns);
-    assertEquals(adapters, Outcomes.load("free:12;size:40;hold_back:0.25"));
-    assertEquals(adapters, Outcomes.load("x0:12;x1:40;eps:0.25"));
+    assertEquals(adapters, Outcomes.parseLoad("free:12;size:40;hold_back:0.25"));
+    assertEquals(adapters, Outcomes.parseLoad("x0:12;x1:40;eps:0.25"));
     Load unasked = ReportReader.load(new double[] {12, 40, -1}, columns);
-    assertEquals(unasked, Outcomes.load("free:12;size:40;hold_back:-1"));
-    assertEquals(unasked, Outcomes.load("free:12;size:40;hold_back:x;;:;other:1"));
-    assertEquals(Load.UNKNOWN, Outcomes.load(""));
+    assertEquals(unasked, Outcomes.parseLoad("free:12;size:40;hold_back:-1"));
+    assertEquals(unasked, Outcomes.parseLoad("free:12;size:40;hold_back:x;;:;other:1"));
+    assertEquals(Load.UNKNOWN, Outcomes.parseLoad(""));
   }
 }
