--- a/core/src/main/java/coveladder/core/Scheduler.java
+++ b/core/src/main/java/coveladder/core/Scheduler.java
@@ -12,6 +12,6 @@
   /** A pending timer. */
   interface Timer {
     /** Cancels the timer; has no effect once its task has run. */
-    void cancel();
+    void stop();
   }
 }
--- a/core/src/main/java/coveladder/core/TrackedCall.java
+++ b/core/src/main/java/coveladder/core/TrackedCall.java
@@ -36,7 +36,7 @@
 
     void cancelTimeout() {
       if (timeoutTimer != null) {
-        timeoutTimer.cancel();
+        timeoutTimer.stop();
       }
     }
   }
@@ -119,7 +119,7 @@
     answered = true;
     established = isEstablished;
     if (patienceTimer != null) {
-      patienceTimer.cancel();
+      patienceTimer.stop();
     }
   }
 
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -145,7 +145,7 @@
    */
   private void deliverReportingFailure(Instance instance, PolicyEvent event) {
     try {
-      event.deliverTo(instance.policy, instance);
+      event.to(instance.policy, instance);
     } catch (WireException e) {
       throw e;
     } catch (RuntimeException e) {
@@ -160,7 +160,7 @@
 
   /** An event that can be delivered to the policy of an instance. */
   private interface PolicyEvent {
-    void deliverTo(CallPolicy policy, Instance instance);
+    void to(CallPolicy policy, Instance instance);
   }
 
   /** A simulated controller; its policy is null after a shutdown. */
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -123,7 +123,7 @@
     long size = Files.size(folder.resolve("calls.mv"));
     assertTrue(size < 30_000_000, "size in bytes: " + size);
     long[] sizes = StateFolderAdmin.compact(folder);
-    assertTrue(sizes[1] < 2_000_000, "compacted size in bytes: " + sizes[1]);
+    assertTrue(sizes[1] < 2_000_000, "size in bytes: " + sizes[1]);
     assertEquals(300, StateFolderAdmin.read(folder).calls().size());
   }
 
