--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -327,7 +327,10 @@
     return attemptLeg != null && attemptLeg.isReleasing() || callerLeg.isReleasing();
   }
 
-  /** Whether both legs have ended; cancels the session timer if so. */
+  /**
+   * Whether the caller's leg has ended and the attempt's leg has ended or was never sent. Cancels
+   * the session timer if so.
+   */
   boolean hasEnded() {
     boolean attemptEnded =
         attemptLeg == null || !inviteSent || attemptLeg.state() == CallLeg.State.ENDED;
@@ -379,7 +382,7 @@
     }
   }
 
-  /** Index in the list of reliable provisional responses; -1 if there is none. */
+  /** Index of a reliable provisional response by its RSeq on the caller's leg; -1 if unknown. */
   private int indexOfCallerRseq(String callerRseq) {
     int index = Integer.parseInt(callerRseq) - 1;
     return index < reliableResponses.size() ? index : -1;
