--- a/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/AgreementTest.java
@@ -8,9 +8,12 @@
 import coveladder.wire.SettingsReader;
 import org.junit.jupiter.api.Test;
 
-/** The adapter's lines and the front's configuration lead to the same settings and figures. */
+/**
+ * Tests that the simulation host's input lines and the platform's configuration and messages give
+ * the same settings and load figures.
+ */
 class AgreementTest {
-  private static final String START =
+  private static final String START_LINE =
       "START who=0 salt=1 classes.count=2 classes.0.name=voice classes.0.aim=1200.0"
           + " classes.0.giveUp=9000.0 classes.0.worth=1.0 classes.0.lateValue=0.25"
           + " classes.1.name=wide classes.1.aim=2500.0 classes.1.giveUp=9000.0 classes.1.worth=4.0"
@@ -23,21 +26,21 @@
           + " rules.rampTime=13000.0 rules.fallMultiple=3.0 rules.fall=3000.0";
 
   @Test
-  void theSameSettings() {
+  void startLineAndConfigurationGiveTheSameSettings() {
     assertEquals(
-        SettingsReader.read(Fields.parseLine(START)),
-        PlatformSettings.read(Bed.CONFIG).policySettings());
+        SettingsReader.read(Fields.parseLine(START_LINE)),
+        PlatformSettings.read(FrontEndHarness.CONFIG).policySettings());
   }
 
   @Test
-  void theSameFigures() {
+  void reportColumnsAndLoadTextGiveTheSameFigures() {
     String[] columns = {"free", "size", "hold_back"};
-    Load adapters = ReportReader.load(new double[] {12, 40, 0.25}, columns);
-    assertEquals(adapters, Outcomes.parseLoad("free:12;size:40;hold_back:0.25"));
-    assertEquals(adapters, Outcomes.parseLoad("x0:12;x1:40;eps:0.25"));
-    Load unasked = ReportReader.load(new double[] {12, 40, -1}, columns);
-    assertEquals(unasked, Outcomes.parseLoad("free:12;size:40;hold_back:-1"));
-    assertEquals(unasked, Outcomes.parseLoad("free:12;size:40;hold_back:x;;:;other:1"));
+    Load fromColumns = ReportReader.load(new double[] {12, 40, 0.25}, columns);
+    assertEquals(fromColumns, Outcomes.parseLoad("free:12;size:40;hold_back:0.25"));
+    assertEquals(fromColumns, Outcomes.parseLoad("x0:12;x1:40;eps:0.25"));
+    Load withoutWait = ReportReader.load(new double[] {12, 40, -1}, columns);
+    assertEquals(withoutWait, Outcomes.parseLoad("free:12;size:40;hold_back:-1"));
+    assertEquals(withoutWait, Outcomes.parseLoad("free:12;size:40;hold_back:x;;:;other:1"));
     assertEquals(Load.UNKNOWN, Outcomes.parseLoad(""));
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
@@ -14,21 +14,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What callers get that send what no caller should, and that nobody else loses by it. */
+/** Tests that callers which misuse the protocol are refused and do not affect others. */
 class BadCallersTest {
-  private Script script;
-  private Bed bed;
-  private Bed.FakeWire caller;
+  private ScriptedPolicy policy;
+  private FrontEndHarness harness;
+  private FrontEndHarness.FakeConnection caller;
 
   @BeforeEach
-  void begin() {
-    bed =
-        new Bed(
-                deeds -> script = new Script(deeds),
+  void setUpHarness() {
+    harness =
+        new FrontEndHarness(
+                actions -> policy = new ScriptedPolicy(actions),
                 new Limits(16_384, 4, 5, 6, 2_000, 3, 3, 300, 6_000))
-            .open();
-    caller = bed.caller();
-    script.news();
+            .openSwitchConnections();
+    caller = harness.connectCaller();
+    policy.takeEvents();
   }
 
   @ParameterizedTest
@@ -54,141 +54,147 @@
       },
       delimiter = '|',
       nullValues = "NULL")
-  void aSetUpThatCannotBeUsedIsRefusedAndNobodyHearsOfIt(int code, String value) {
-    caller.feed(Bed.setUp(7, code, value));
-    assertEquals(List.of("12 7 cause 111"), caller.news());
-    assertEquals(List.of(), script.news());
-    assertFalse(caller.ended);
+  void refusesAnUnusableSetUpWithoutReportingIt(int code, String value) {
+    caller.deliver(FrontEndHarness.setUp(7, code, value));
+    assertEquals(List.of("12 7 cause 111"), caller.takeSent());
+    assertEquals(List.of(), policy.takeEvents());
+    assertFalse(caller.closed);
   }
 
   @Test
-  void aSetUpWithoutAnIdIsRefused() {
-    caller.feed(Bed.setUp(0));
-    assertEquals(List.of("12 0 cause 111"), caller.news());
+  void refusesASetUpWithoutAnId() {
+    caller.deliver(FrontEndHarness.setUp(0));
+    assertEquals(List.of("12 0 cause 111"), caller.takeSent());
   }
 
   @Test
-  void aDescriptionThatIsNoTextIsRefused() {
-    byte[] setUp = Bed.setUp(7);
+  void refusesADescriptionThatIsNotUtf8() {
+    byte[] setUp = FrontEndHarness.setUp(7);
     setUp[setUp.length - 1] = (byte) 0xff;
-    caller.feed(setUp);
-    assertEquals(List.of("12 7 cause 111"), caller.news());
+    caller.deliver(setUp);
+    assertEquals(List.of("12 7 cause 111"), caller.takeSent());
   }
 
   @Test
-  void octetsThatAreNoMessageEndTheirConnectionAlone() {
-    Bed.FakeWire usual = bed.caller();
-    Bed.FakeWire wire = bed.to(2);
-    usual.feed(Bed.setUp(8));
-    caller.feed(Bed.setUp(7));
-    caller.feed("GET / HTTP/1.1\r\n".getBytes());
-    assertTrue(caller.ended);
-    assertEquals(List.of("call 8 3000", "call 7 3000", "left 7"), script.news().subList(0, 3));
-    wire.feed(Bed.ready(8, "answer"));
-    assertEquals(List.of("9 8answer"), usual.news());
+  void invalidOctetsCloseOnlyTheirConnection() {
+    FrontEndHarness.FakeConnection regular = harness.connectCaller();
+    FrontEndHarness.FakeConnection connection = harness.connectionTo(2);
+    regular.deliver(FrontEndHarness.setUp(8));
+    caller.deliver(FrontEndHarness.setUp(7));
+    caller.deliver("GET / HTTP/1.1\r\n".getBytes());
+    assertTrue(caller.closed);
+    assertEquals(
+        List.of("call 8 3000", "call 7 3000", "abandoned 7"), policy.takeEvents().subList(0, 3));
+    connection.deliver(FrontEndHarness.ready(8, "answer"));
+    assertEquals(List.of("9 8answer"), regular.takeSent());
   }
 
   @Test
-  void anIdThatIsOpenOnOneConnectionGetsOneReleaseForBoth() {
-    caller.feed(Bed.setUp(7));
-    caller.feed(Bed.setUp(7, CallerMessage.DESCRIPTION, "another"));
-    assertEquals(List.of("12 7 cause 111"), caller.news());
-    bed.to(2).feed(Bed.ready(7, "answer"));
-    assertEquals(List.of(), caller.news());
+  void aDuplicateOnTheSameConnectionGetsOneReleaseForBoth() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.DESCRIPTION, "another"));
+    assertEquals(List.of("12 7 cause 111"), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
+    assertEquals(List.of(), caller.takeSent());
   }
 
   @Test
-  void anotherCallersIdIsRefusedAndThatCallGoesOn() {
-    Bed.FakeWire usual = bed.caller();
-    usual.feed(Bed.setUp(7));
-    caller.feed(Bed.setUp(7, CallerMessage.DESCRIPTION, "another"));
-    caller.feed(Bed.release(7));
-    assertEquals(List.of("12 7 cause 111", "16 7"), caller.news());
-    bed.to(2).feed(Bed.ready(7, "answer"));
-    assertEquals(List.of("9 7answer"), usual.news());
+  void aDuplicateOnAnotherConnectionIsRefusedAndTheFirstCallContinues() {
+    FrontEndHarness.FakeConnection regular = harness.connectCaller();
+    regular.deliver(FrontEndHarness.setUp(7));
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.DESCRIPTION, "another"));
+    caller.deliver(FrontEndHarness.release(7));
+    assertEquals(List.of("12 7 cause 111", "16 7"), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
+    assertEquals(List.of("9 7answer"), regular.takeSent());
   }
 
   @Test
-  void anotherCallersStandingCallIsNotEndedByOneWhoWasRefusedUnderItsId() {
-    Bed.FakeWire usual = bed.caller();
-    usual.feed(Bed.setUp(7));
-    caller.feed(Bed.setUp(7, CallerMessage.DESCRIPTION, "another"));
-    bed.to(2).feed(Bed.ready(7, "answer"));
-    caller.feed(Bed.release(7));
-    assertEquals(List.of("9 7answer"), usual.news());
-    bed.to(2).feed(Bed.close(7, 16, ""));
-    assertEquals(List.of("12 7 cause 16"), usual.news());
+  void aReleaseOfARefusedDuplicateDoesNotEndTheEstablishedCall() {
+    FrontEndHarness.FakeConnection regular = harness.connectCaller();
+    regular.deliver(FrontEndHarness.setUp(7));
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.DESCRIPTION, "another"));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
+    caller.deliver(FrontEndHarness.release(7));
+    assertEquals(List.of("9 7answer"), regular.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, ""));
+    assertEquals(List.of("12 7 cause 16"), regular.takeSent());
   }
 
   @Test
-  void oneWhoGoesOnSendingWhatCannotBeUsedIsLetGo() {
+  void closesAConnectionAfterRepeatedUnusableSetUps() {
     for (int i = 0; i < 3; i++) {
-      caller.feed(Bed.setUp(7, CallerMessage.CLASS, "no such class"));
+      caller.deliver(FrontEndHarness.setUp(7, CallerMessage.CLASS, "no such class"));
     }
-    assertEquals(3, caller.news().size());
-    assertTrue(caller.ended);
+    assertEquals(3, caller.takeSent().size());
+    assertTrue(caller.closed);
   }
 
   @Test
-  void silentConnectionsAndHalfMessagesAreClosedInTime() {
-    Bed.FakeWire half = bed.caller();
-    half.feed(Arrays.copyOf(Bed.setUp(7), 20));
-    Bed.FakeWire usual = bed.caller();
-    usual.feed(Bed.setUp(8));
-    bed.to(2).feed(Bed.ready(8, "answer"));
-    bed.clock.advance(2_300);
-    assertTrue(caller.ended);
-    assertTrue(half.ended);
-    assertFalse(usual.ended);
+  void closesSilentConnectionsAndThoseWithAnIncompleteMessage() {
+    FrontEndHarness.FakeConnection incomplete = harness.connectCaller();
+    incomplete.deliver(Arrays.copyOf(FrontEndHarness.setUp(7), 20));
+    FrontEndHarness.FakeConnection regular = harness.connectCaller();
+    regular.deliver(FrontEndHarness.setUp(8));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(8, "answer"));
+    harness.clock.advance(2_300);
+    assertTrue(caller.closed);
+    assertTrue(incomplete.closed);
+    assertFalse(regular.closed);
   }
 
   @Test
-  void whereThereAreTooManyConnectionsTheLongestSilentMakesRoom() {
-    caller.feed(Bed.setUp(7));
-    bed.clock.advance(10);
-    Bed.FakeWire silent = bed.caller();
-    bed.clock.advance(10);
+  void closesTheLongestSilentConnectionAtTheLimit() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.clock.advance(10);
+    FrontEndHarness.FakeConnection silent = harness.connectCaller();
+    harness.clock.advance(10);
     for (int i = 0; i < 3; i++) {
-      assertFalse(bed.caller().ended);
+      assertFalse(harness.connectCaller().closed);
     }
-    assertTrue(silent.ended);
-    assertFalse(caller.ended);
+    assertTrue(silent.closed);
+    assertFalse(caller.closed);
   }
 
   @Test
-  void aConnectionWhoseCallsStoodIsNotTheOneThatMakesRoom() {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).feed(Bed.ready(7, "answer"));
+  void keepsAConnectionWithEstablishedCallsAtTheLimit() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
     for (int i = 0; i < 20; i++) {
-      bed.clock.advance(10);
-      bed.caller().feed(CallerCodec.encode(CallerMessage.withCause(52, Bed.id(0), 0)));
+      harness.clock.advance(10);
+      harness
+          .connectCaller()
+          .deliver(CallerCodec.encode(CallerMessage.withCause(52, FrontEndHarness.callId(0), 0)));
     }
-    assertFalse(caller.ended);
+    assertFalse(caller.closed);
   }
 
   @Test
-  void hundredsAtOnceAndTakenBackAtOnceLeaveNothing() {
+  void abandonedCallsLeaveNoState() {
     for (int i = 1; i <= 300; i++) {
-      caller.feed(Bed.setUp(i));
+      caller.deliver(FrontEndHarness.setUp(i));
     }
-    assertEquals(295, caller.news().stream().filter(m -> m.endsWith("cause 42")).count());
+    assertEquals(
+        295, caller.takeSent().stream().filter(message -> message.endsWith("cause 42")).count());
     for (int i = 1; i <= 300; i++) {
-      caller.feed(Bed.release(i));
+      caller.deliver(FrontEndHarness.release(i));
     }
-    bed.clock.advance(10);
-    assertEquals(0, bed.front.controller().callCount());
-    assertEquals(300, caller.news().size());
+    harness.clock.advance(10);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertEquals(300, caller.takeSent().size());
   }
 
   @Test
-  void connectionsThatComeAndGoLeaveNothing() {
+  void closedConnectionsLeaveNoState() {
     for (int i = 1; i <= 500; i++) {
-      Bed.FakeWire wire = bed.caller();
-      wire.feed(Bed.setUp(i));
-      wire.lose(Loss.CLOSED);
+      FrontEndHarness.FakeConnection connection = harness.connectCaller();
+      connection.deliver(FrontEndHarness.setUp(i));
+      connection.lose(Loss.CLOSED);
     }
-    bed.clock.advance(100);
-    assertEquals(0, bed.front.controller().callCount());
-    assertTrue(bed.front.stateSummary().contains("caller links 1,"), bed.front.stateSummary());
+    harness.clock.advance(100);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertTrue(
+        harness.frontEnd.stateSummary().contains("caller links 1,"),
+        harness.frontEnd.stateSummary());
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/CallsTest.java
@@ -16,38 +16,47 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Calls from end to end, with a policy that sends each to s1 and refuses what came to nothing. */
+/**
+ * Tests calls from the caller to the switch, with a policy that sends each to s1 and refuses it if
+ * that fails.
+ */
 class CallsTest {
-  private Script script;
-  private Bed bed;
-  private Bed.FakeWire caller;
+  private ScriptedPolicy policy;
+  private FrontEndHarness harness;
+  private FrontEndHarness.FakeConnection caller;
 
   @BeforeEach
-  void begin() {
-    bed = new Bed(deeds -> script = new Script(deeds)).open();
-    caller = bed.caller();
-    script.news();
+  void setUpHarness() {
+    harness =
+        new FrontEndHarness(actions -> policy = new ScriptedPolicy(actions))
+            .openSwitchConnections();
+    caller = harness.connectCaller();
+    policy.takeEvents();
   }
 
-  private void standing(int id) {
-    caller.feed(Bed.setUp(id));
-    bed.to(2).feed(Bed.ready(id, "answer"));
-    caller.news();
-    bed.to(2).news();
-    script.news();
+  /** Establishes a call and discards the messages and events of its set-up. */
+  private void establish(int id) {
+    caller.deliver(FrontEndHarness.setUp(id));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(id, "answer"));
+    caller.takeSent();
+    harness.connectionTo(2).takeSent();
+    policy.takeEvents();
   }
 
   @Test
-  void aCallStandsAndEnds() {
-    caller.feed(Bed.setUp(7));
-    assertEquals(List.of("OPEN 7 voice offer7"), bed.to(2).news());
-    bed.to(2).feed("{\"msg\":\"trying\",\"sid\":\"" + Bed.id(7) + "\",\"attrs\":{}}");
-    bed.to(2).feed(Bed.ready(7, "answer"));
-    assertEquals(List.of("9 7answer"), caller.news());
-    bed.to(2).feed(Bed.close(7, 16, "\"load\":\"x0:4;x1:30\""));
-    assertEquals(List.of("12 7 cause 16"), caller.news());
-    assertEquals(List.of("call 7 3000", "stands 7", "ended 7 DONE NONE last"), script.news());
-    assertEquals(0, bed.front.controller().callCount());
+  void establishesAndReleasesACall() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    assertEquals(List.of("OPEN 7 voice offer7"), harness.connectionTo(2).takeSent());
+    harness
+        .connectionTo(2)
+        .deliver("{\"msg\":\"trying\",\"sid\":\"" + FrontEndHarness.callId(7) + "\",\"attrs\":{}}");
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
+    assertEquals(List.of("9 7answer"), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, "\"load\":\"x0:4;x1:30\""));
+    assertEquals(List.of("12 7 cause 16"), caller.takeSent());
+    assertEquals(
+        List.of("call 7 3000", "established 7", "ended 7 DONE NONE last"), policy.takeEvents());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @ParameterizedTest
@@ -62,385 +71,407 @@
     "41, '', RESET NONE, 34",
     "99, '', RESET NONE, 34"
   })
-  void theEndOfASetUpIsToldAsItIs(int code, String note, String outcome, int cause) {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).feed(Bed.close(7, code, "\"note\":\"" + note + "\""));
-    assertEquals(List.of("call 7 3000", "ended 7 " + outcome), script.news());
-    assertEquals(List.of("12 7 cause " + cause + " wait 250"), caller.news());
+  void mapsTheCauseOfARefusedSetUp(int code, String note, String outcome, int cause) {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, code, "\"note\":\"" + note + "\""));
+    assertEquals(List.of("call 7 3000", "ended 7 " + outcome), policy.takeEvents());
+    assertEquals(List.of("12 7 cause " + cause + " wait 250"), caller.takeSent());
   }
 
   @Test
-  void whatTimedOutIsOverWithItsGiveUpAndItsLateAnswerIsReleased() {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).news();
-    bed.clock.advance(1_000);
-    assertEquals(List.of("CLOSE 7 16"), bed.to(2).news());
-    assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), script.news());
-    assertEquals(List.of("12 7 cause 34 wait 250"), caller.news());
-    bed.to(2).feed(Bed.ready(7, "late"));
-    bed.to(2).feed(Bed.ready(7, "late"));
-    assertEquals(List.of("CLOSE 7 16"), bed.to(2).news());
-    assertEquals(List.of(), caller.news());
+  void aTimedOutAttemptEndsAtOnceAndItsLateAnswerIsReleased() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).takeSent();
+    harness.clock.advance(1_000);
+    assertEquals(List.of("CLOSE 7 16"), harness.connectionTo(2).takeSent());
+    assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), policy.takeEvents());
+    assertEquals(List.of("12 7 cause 34 wait 250"), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "late"));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "late"));
+    assertEquals(List.of("CLOSE 7 16"), harness.connectionTo(2).takeSent());
+    assertEquals(List.of(), caller.takeSent());
   }
 
   @Test
-  void aSetUpThatWaitsForItsConnectionInVainNeverLeaves() {
-    bed.to(2).lose(Loss.CLOSED);
-    bed.clock.advance(60);
-    caller.feed(Bed.setUp(7));
-    bed.clock.advance(1_000);
-    bed.to(2).open();
-    assertEquals(List.of(), bed.to(2).news());
-    assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), script.news());
+  void aSetUpThatTimesOutWaitingForItsConnectionIsNeverSent() {
+    harness.connectionTo(2).lose(Loss.CLOSED);
+    harness.clock.advance(60);
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.clock.advance(1_000);
+    harness.connectionTo(2).establish();
+    assertEquals(List.of(), harness.connectionTo(2).takeSent());
+    assertEquals(List.of("call 7 3000", "ended 7 TIMED_OUT NONE"), policy.takeEvents());
   }
 
+  /** A refused connection proves that the set-up did not reach the switch. */
   @Test
-  void aRefusedConnectionProvesThatNothingRan() {
-    bed.to(2).lose(Loss.CLOSED);
-    bed.clock.advance(60);
-    caller.feed(Bed.setUp(7));
-    bed.to(2).lose(Loss.TURNED_AWAY);
-    assertEquals(List.of("call 7 3000", "ended 7 REFUSED NONE"), script.news());
+  void aRefusedConnectionEndsTheAttemptAsRefused() {
+    harness.connectionTo(2).lose(Loss.CLOSED);
+    harness.clock.advance(60);
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).lose(Loss.TURNED_AWAY);
+    assertEquals(List.of("call 7 3000", "ended 7 REFUSED NONE"), policy.takeEvents());
   }
 
   @Test
-  void setUpsOnALostOrUnreadableConnectionAreResetOnce() {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).lose(Loss.CLOSED);
-    assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), script.news());
-    bed.clock.advance(60);
-    bed.to(2).open();
-    caller.feed(Bed.setUp(8));
-    Bed.FakeWire spoilt = bed.to(2);
-    spoilt.feed("{\"msg\":\"ready\",\"sid\":\"" + Bed.id(8) + "\",\"text\":\"ha");
-    assertTrue(spoilt.ended);
-    assertEquals(List.of("call 8 3000", "ended 8 RESET NONE"), script.news());
-    assertEquals(List.of("12 7 cause 34 wait 250", "12 8 cause 34 wait 250"), caller.news());
+  void setUpsOnALostOrUnreadableConnectionEndAsResetOnce() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).lose(Loss.CLOSED);
+    assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), policy.takeEvents());
+    harness.clock.advance(60);
+    harness.connectionTo(2).establish();
+    caller.deliver(FrontEndHarness.setUp(8));
+    FrontEndHarness.FakeConnection unreadable = harness.connectionTo(2);
+    unreadable.deliver(
+        "{\"msg\":\"ready\",\"sid\":\"" + FrontEndHarness.callId(8) + "\",\"text\":\"ha");
+    assertTrue(unreadable.closed);
+    assertEquals(List.of("call 8 3000", "ended 8 RESET NONE"), policy.takeEvents());
+    assertEquals(List.of("12 7 cause 34 wait 250", "12 8 cause 34 wait 250"), caller.takeSent());
   }
 
   @Test
-  void anAnswerThatStopsShortEndsItsConnectionSoon() {
-    caller.feed(Bed.setUp(7));
-    Bed.FakeWire wire = bed.to(2);
-    wire.feed("{\"msg\":\"ready\",\"sid\":\"00".getBytes());
-    bed.clock.advance(500);
-    assertTrue(wire.ended);
-    assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), script.news());
+  void anIncompleteAnswerResetsItsConnection() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    FrontEndHarness.FakeConnection connection = harness.connectionTo(2);
+    connection.deliver("{\"msg\":\"ready\",\"sid\":\"00".getBytes());
+    harness.clock.advance(500);
+    assertTrue(connection.closed);
+    assertEquals(List.of("call 7 3000", "ended 7 RESET NONE"), policy.takeEvents());
   }
 
   @Test
-  void moreThanBelongsToAnAnswerIsPassedOver() {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).feed(Bed.ready(99, "unknown"));
-    bed.to(2).feed(Bed.ready(7, "answer"));
-    bed.to(2).feed(Bed.ready(7, "copy"));
-    assertEquals(List.of("9 7answer"), caller.news());
-    assertEquals(List.of("OPEN 7 voice offer7"), bed.to(2).news());
+  void ignoresUnknownAndRepeatedAnswers() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(99, "unknown"));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "answer"));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(7, "copy"));
+    assertEquals(List.of("9 7answer"), caller.takeSent());
+    assertEquals(List.of("OPEN 7 voice offer7"), harness.connectionTo(2).takeSent());
   }
 
   @Test
-  void anAnswerWithoutADescriptionIsPassedToNobody() {
-    caller.feed(Bed.setUp(7));
-    bed.to(2).feed("{\"msg\":\"ready\",\"sid\":\"" + Bed.id(7) + "\",\"attrs\":{}}");
-    assertEquals(List.of("12 7 cause 34 wait 250"), caller.news());
+  void anAnswerWithoutADescriptionIsNotForwarded() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness
+        .connectionTo(2)
+        .deliver("{\"msg\":\"ready\",\"sid\":\"" + FrontEndHarness.callId(7) + "\",\"attrs\":{}}");
+    assertEquals(List.of("12 7 cause 34 wait 250"), caller.takeSent());
   }
 
   @Test
-  void anAnswerFromAnotherSwitchIsNotTaken() {
-    caller.feed(Bed.setUp(7));
-    bed.to(3).feed(Bed.ready(7, "not mine"));
-    assertEquals(List.of(), caller.news());
+  void ignoresAnAnswerFromAnotherSwitch() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness.connectionTo(3).deliver(FrontEndHarness.ready(7, "not mine"));
+    assertEquals(List.of(), caller.takeSent());
   }
 
   @Test
-  void aCallerTakesBackOrGoesAway() {
-    caller.feed(Bed.setUp(7));
-    caller.feed(Bed.release(7));
-    assertEquals(List.of("16 7"), caller.news());
-    caller.feed(Bed.setUp(8));
+  void cancelsTheAttemptWhenTheCallerReleasesOrDisconnects() {
+    caller.deliver(FrontEndHarness.setUp(7));
+    caller.deliver(FrontEndHarness.release(7));
+    assertEquals(List.of("16 7"), caller.takeSent());
+    caller.deliver(FrontEndHarness.setUp(8));
     caller.lose(Loss.CLOSED);
     assertEquals(
         List.of("OPEN 7 voice offer7", "CLOSE 7 16", "OPEN 8 voice offer8", "CLOSE 8 16"),
-        bed.to(2).news());
-    bed.clock.advance(10);
-    assertEquals(0, bed.front.controller().callCount());
+        harness.connectionTo(2).takeSent());
+    harness.clock.advance(10);
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aStandingCallEndsFromAnyConnection() {
-    standing(7);
+  void anEstablishedCallCanBeReleasedOnAnyConnection() {
+    establish(7);
     caller.lose(Loss.CLOSED);
-    Bed.FakeWire other = bed.caller();
-    other.feed(Bed.release(7));
-    assertEquals(List.of("CLOSE 7 16"), bed.to(2).news());
-    assertEquals(List.of("ended 7 DONE NONE last"), script.news());
-    bed.to(2).feed(Bed.close(7, 16, ""));
-    assertEquals(List.of("16 7"), other.news());
+    FrontEndHarness.FakeConnection other = harness.connectCaller();
+    other.deliver(FrontEndHarness.release(7));
+    assertEquals(List.of("CLOSE 7 16"), harness.connectionTo(2).takeSent());
+    assertEquals(List.of("ended 7 DONE NONE last"), policy.takeEvents());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, ""));
+    assertEquals(List.of("16 7"), other.takeSent());
   }
 
   @Test
-  void aReleaseWaitsForAConnectionThatBringsCalls() {
-    standing(7);
+  void aReleaseWaitsForAConnectionThatBringsASetUp() {
+    establish(7);
     caller.lose(Loss.CLOSED);
-    bed.to(2).feed(Bed.close(7, 41, ""));
-    Bed.FakeWire other = bed.caller();
-    other.feed(CallerCodec.encode(CallerMessage.withCause(CallerMessage.TEST, Bed.id(0), 0)));
-    assertEquals(List.of("53 0 cause 1"), other.news());
-    other.feed(Bed.setUp(8));
-    assertEquals(List.of("12 7 cause 41"), other.news());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 41, ""));
+    FrontEndHarness.FakeConnection other = harness.connectCaller();
+    other.deliver(
+        CallerCodec.encode(
+            CallerMessage.withCause(CallerMessage.TEST, FrontEndHarness.callId(0), 0)));
+    assertEquals(List.of("53 0 cause 1"), other.takeSent());
+    other.deliver(FrontEndHarness.setUp(8));
+    assertEquals(List.of("12 7 cause 41"), other.takeSent());
   }
 
   @Test
-  void aReleaseGoesWhereMostCallsStoodNotToOneWhoAskedOnce() {
-    standing(7);
-    Bed.FakeWire usual = bed.caller();
+  void aReleaseIsSentOnTheConnectionWithTheMostEstablishedCalls() {
+    establish(7);
+    FrontEndHarness.FakeConnection regular = harness.connectCaller();
     for (int id = 20; id < 22; id++) {
-      usual.feed(Bed.setUp(id));
-      bed.to(2).feed(Bed.ready(id, "answer"));
+      regular.deliver(FrontEndHarness.setUp(id));
+      harness.connectionTo(2).deliver(FrontEndHarness.ready(id, "answer"));
     }
-    usual.news();
-    Bed.FakeWire once = bed.caller();
-    once.feed(Bed.setUp(30));
-    bed.to(2).feed(Bed.ready(30, "answer"));
-    once.news();
+    regular.takeSent();
+    FrontEndHarness.FakeConnection singleCall = harness.connectCaller();
+    singleCall.deliver(FrontEndHarness.setUp(30));
+    harness.connectionTo(2).deliver(FrontEndHarness.ready(30, "answer"));
+    singleCall.takeSent();
     caller.lose(Loss.CLOSED);
-    bed.to(2).feed(Bed.close(7, 16, ""));
-    assertEquals(List.of("12 7 cause 16"), usual.news());
-    assertEquals(List.of(), once.news());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, ""));
+    assertEquals(List.of("12 7 cause 16"), regular.takeSent());
+    assertEquals(List.of(), singleCall.takeSent());
   }
 
   @Test
-  void aReleaseWrittenAsItsConnectionEndsIsWrittenAgain() {
-    standing(7);
-    bed.to(2).feed(Bed.close(7, 16, ""));
-    bed.clock.advance(100);
+  void aReleaseSentJustBeforeItsConnectionEndedIsSentAgain() {
+    establish(7);
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, ""));
+    harness.clock.advance(100);
     caller.lose(Loss.CLOSED);
-    Bed.FakeWire other = bed.caller();
-    other.feed(Bed.setUp(8));
-    assertEquals(List.of("12 7 cause 16"), other.news());
+    FrontEndHarness.FakeConnection other = harness.connectCaller();
+    other.deliver(FrontEndHarness.setUp(8));
+    assertEquals(List.of("12 7 cause 16"), other.takeSent());
   }
 
+  /**
+   * Without a new connection, a release that was lost with its connection would never arrive: the
+   * switch repeats it only on the next connection opened.
+   */
   @Test
-  void aConnectionThatEndsIsReplacedWhereOthersAreOpenForTheReleasesThatWereOnIt() {
-    Bed.FakeWire first = bed.to(2);
-    standing(7);
-    caller.feed(Bed.setUp(8));
-    caller.feed(Bed.setUp(9));
-    Bed.FakeWire second = bed.to(2);
-    second.open();
+  void replacesALostSwitchConnectionEvenIfOthersAreOpen() {
+    FrontEndHarness.FakeConnection first = harness.connectionTo(2);
+    establish(7);
+    caller.deliver(FrontEndHarness.setUp(8));
+    caller.deliver(FrontEndHarness.setUp(9));
+    FrontEndHarness.FakeConnection second = harness.connectionTo(2);
+    second.establish();
     assertNotSame(first, second);
-    first.feed("noise");
-    bed.clock.advance(1);
-    Bed.FakeWire third = bed.to(2);
+    first.deliver("noise");
+    harness.clock.advance(1);
+    FrontEndHarness.FakeConnection third = harness.connectionTo(2);
     assertNotSame(second, third);
-    third.open();
-    caller.news();
-    third.feed(Bed.close(7, 16, ""));
-    assertEquals(List.of("12 7 cause 16"), caller.news());
+    third.establish();
+    caller.takeSent();
+    third.deliver(FrontEndHarness.close(7, 16, ""));
+    assertEquals(List.of("12 7 cause 16"), caller.takeSent());
   }
 
   @Test
-  void callsThatStandAlreadyAreTakenUpAndReleased() {
-    caller.feed(Bed.setUp(7, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s1"));
-    caller.feed(Bed.setUp(7, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s1"));
-    assertEquals(List.of(), caller.news());
-    bed.to(2).feed(Bed.close(7, 16, ""));
-    assertEquals(List.of("12 7 cause 16"), caller.news());
-    caller.feed(Bed.setUp(8, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s9"));
-    assertEquals(List.of("12 8 cause 41"), caller.news());
+  void resumesEstablishedCallsAndReleasesThoseAtUnknownSwitches() {
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s1"));
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s1"));
+    assertEquals(List.of(), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(7, 16, ""));
+    assertEquals(List.of("12 7 cause 16"), caller.takeSent());
+    caller.deliver(FrontEndHarness.setUp(8, CallerMessage.FIGURES, "dest:1;width:1;via:-1;at:s9"));
+    assertEquals(List.of("12 8 cause 41"), caller.takeSent());
   }
 
   @Test
-  void callsOfASwitchThatIsGoneAreReleased() {
-    standing(7);
-    bed.to(8500)
-        .feed(
+  void releasesTheCallsOfATerminatedSwitch() {
+    establish(7);
+    harness
+        .connectionTo(8500)
+        .deliver(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"terminated\"}]}}");
-    assertEquals(List.of("12 7 cause 41"), caller.news());
+    assertEquals(List.of("12 7 cause 41"), caller.takeSent());
   }
 
-  private void turnAwayFor(double lasts) {
-    if (bed.to(2) != null) {
-      bed.to(2).lose(Loss.CLOSED);
+  /** Breaks the connection to the first switch and refuses all new ones for a time. */
+  private void refuseConnectionsFor(double durationMillis) {
+    if (harness.connectionTo(2) != null) {
+      harness.connectionTo(2).lose(Loss.CLOSED);
     }
-    for (double since = 0; since < lasts; since += 260) {
-      bed.clock.advance(260);
-      if (bed.to(2) != null) {
-        bed.to(2).lose(Loss.TURNED_AWAY);
+    for (double elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += 260) {
+      harness.clock.advance(260);
+      if (harness.connectionTo(2) != null) {
+        harness.connectionTo(2).lose(Loss.TURNED_AWAY);
       }
     }
   }
 
   @Test
-  void callsOfASwitchThatTurnsConnectionsAwayAreReleasedWithinEightSeconds() {
-    standing(7);
-    turnAwayFor(5_000);
-    assertEquals(List.of(), caller.news());
-    turnAwayFor(2_000);
-    assertEquals(List.of("12 7 cause 41"), caller.news());
+  void releasesTheCallsOfASwitchThatRefusesConnectionsWithinEightSeconds() {
+    establish(7);
+    refuseConnectionsFor(5_000);
+    assertEquals(List.of(), caller.takeSent());
+    refuseConnectionsFor(2_000);
+    assertEquals(List.of("12 7 cause 41"), caller.takeSent());
   }
 
   @Test
-  void callsOfASwitchThatDrainsStandOnWhileItTurnsConnectionsAway() {
-    standing(7);
-    bed.to(8500)
-        .feed(
+  void keepsTheCallsOfADrainingSwitchLongerWhileItRefusesConnections() {
+    establish(7);
+    harness
+        .connectionTo(8500)
+        .deliver(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"terminating\"}]}}");
-    turnAwayFor(7_500);
-    assertEquals(List.of(), caller.news());
-    turnAwayFor(3_500);
-    assertEquals(List.of("12 7 cause 41"), caller.news());
+    refuseConnectionsFor(7_500);
+    assertEquals(List.of(), caller.takeSent());
+    refuseConnectionsFor(3_500);
+    assertEquals(List.of("12 7 cause 41"), caller.takeSent());
   }
 
   @Test
-  void aMachineThatFellSilentIsFoundByANewConnectionAndGivenUpInTime() {
-    standing(7);
-    Bed.FakeWire silent = bed.to(2);
-    double fellSilent = bed.clock.now();
-    bed.clock.advance(4_800);
-    assertNotSame(silent, bed.to(2));
-    int tries = 0;
-    while (caller.sent.isEmpty() && bed.clock.now() - fellSilent < 7_900) {
-      Bed.FakeWire made = bed.to(2);
-      if (made != null && made != silent) {
-        made.lose(Loss.NOT_MADE);
-        tries++;
+  void releasesTheCallsOfASilentSwitchAfterCheckingItWithNewConnections() {
+    establish(7);
+    FrontEndHarness.FakeConnection silent = harness.connectionTo(2);
+    double silentSince = harness.clock.now();
+    harness.clock.advance(4_800);
+    assertNotSame(silent, harness.connectionTo(2));
+    int attempts = 0;
+    while (caller.sent.isEmpty() && harness.clock.now() - silentSince < 7_900) {
+      FrontEndHarness.FakeConnection opened = harness.connectionTo(2);
+      if (opened != null && opened != silent) {
+        opened.lose(Loss.NOT_MADE);
+        attempts++;
       }
-      bed.clock.advance(100);
+      harness.clock.advance(100);
     }
-    assertEquals(List.of("12 7 cause 41"), caller.news());
-    assertTrue(tries >= 3, "tries before it was given up: " + tries);
+    assertEquals(List.of("12 7 cause 41"), caller.takeSent());
+    assertTrue(
+        attempts >= 3, "connection attempts before the switch was declared gone: " + attempts);
   }
 
   @Test
-  void aSetUpWhoseGiveUpIsThereAlreadyNeverLeaves() {
-    caller.feedTogether(Bed.setUp(7));
-    caller.feedTogether(Bed.release(7));
-    bed.clock.advance(1_000);
-    assertEquals(List.of(), bed.to(2).news());
-    assertEquals(List.of("16 7"), caller.news());
+  void aSetUpReleasedInTheSameTurnIsNeverSent() {
+    caller.deliverWithoutTurn(FrontEndHarness.setUp(7));
+    caller.deliverWithoutTurn(FrontEndHarness.release(7));
+    harness.clock.advance(1_000);
+    assertEquals(List.of(), harness.connectionTo(2).takeSent());
+    assertEquals(List.of("16 7"), caller.takeSent());
   }
 
   @Test
-  void aSetUpWhoseCallerClosedAlreadyNeverLeaves() {
-    caller.feedTogether(Bed.setUp(7));
+  void aSetUpWhoseCallerDisconnectsInTheSameTurnIsNeverSent() {
+    caller.deliverWithoutTurn(FrontEndHarness.setUp(7));
     caller.lose(Loss.CLOSED);
-    bed.clock.advance(1_000);
-    assertEquals(List.of(), bed.to(2).news());
-    assertEquals(0, bed.front.controller().callCount());
+    harness.clock.advance(1_000);
+    assertEquals(List.of(), harness.connectionTo(2).takeSent());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aSetUpThatWaitsForAConnectionNeverLeavesPastTheGraceOfItsExchange() {
-    bed.to(2).lose(Loss.CLOSED);
-    caller.feed(Bed.setUp(7));
-    bed.to(8500)
-        .feed(
+  void aSetUpThatWaitsForAConnectionIsNotSentAfterTheDrainGrace() {
+    harness.connectionTo(2).lose(Loss.CLOSED);
+    caller.deliver(FrontEndHarness.setUp(7));
+    harness
+        .connectionTo(8500)
+        .deliver(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"terminating\"}]}}");
-    bed.clock.advance(400);
-    bed.to(2).open();
-    bed.clock.advance(1);
-    assertEquals(List.of(), bed.to(2).news());
-    assertEquals(List.of("12 7 cause 34 wait 250"), caller.news());
+    harness.clock.advance(400);
+    harness.connectionTo(2).establish();
+    harness.clock.advance(1);
+    assertEquals(List.of(), harness.connectionTo(2).takeSent());
+    assertEquals(List.of("12 7 cause 34 wait 250"), caller.takeSent());
   }
 
   @Test
-  void aSetUpThatWaitsForAConnectionNeverLeavesOnceItsCallerIsGone() {
-    bed.to(2).lose(Loss.CLOSED);
-    caller.feed(Bed.setUp(7));
+  void aSetUpThatWaitsForAConnectionIsNotSentOnceItsCallerDisconnected() {
+    harness.connectionTo(2).lose(Loss.CLOSED);
+    caller.deliver(FrontEndHarness.setUp(7));
     caller.lose(Loss.CLOSED);
-    bed.clock.advance(200);
-    bed.to(2).open();
-    bed.clock.advance(200);
-    assertEquals(List.of(), bed.to(2).news());
+    harness.clock.advance(200);
+    harness.connectionTo(2).establish();
+    harness.clock.advance(200);
+    assertEquals(List.of(), harness.connectionTo(2).takeSent());
   }
 
+  /** A healthy switch without traffic must not be checked more often than every 3.5 s. */
   @Test
-  void aQuietSwitchInGoodOrderIsNotAskedForConnectionsOverAndOver() {
-    standing(7);
+  void limitsTheCheckConnectionsToASilentHealthySwitch() {
+    establish(7);
     for (int i = 0; i < 600; i++) {
-      int before = bed.connected.size();
-      bed.clock.advance(100);
-      bed.connected.stream().skip(before).forEach(Bed.FakeWire::open);
+      int before = harness.connections.size();
+      harness.clock.advance(100);
+      harness.connections.stream().skip(before).forEach(FrontEndHarness.FakeConnection::establish);
     }
-    long made = bed.connected.stream().filter(w -> w.port == 2).count();
-    assertTrue(made <= 1 + 60_000 / 3_500, "connections in a minute: " + made);
-    assertEquals(List.of(), caller.news());
+    long opened = harness.connections.stream().filter(connection -> connection.port == 2).count();
+    assertTrue(opened <= 1 + 60_000 / 3_500, "connections in a minute: " + opened);
+    assertEquals(List.of(), caller.takeSent());
   }
 
   @Test
-  void whatAllControllersDoAtOneMomentIsSpreadByTheirSeeds() {
-    TreeSet<Double> again = new TreeSet<>();
+  void spreadsTheReconnectsOfAllControllersByTheirSeeds() {
+    TreeSet<Double> reconnectDelays = new TreeSet<>();
     for (int i = 10; i < 30; i++) {
       String seed = "seed\":\"" + i;
-      Bed one =
-          new Bed(
-                  Script::new,
+      FrontEndHarness seeded =
+          new FrontEndHarness(
+                  ScriptedPolicy::new,
                   Limits.forDescriptors(256, 3),
                   config -> config.replace("seed\":\"8c1f30d27a5be964", seed))
-              .open();
-      one.to(2).lose(Loss.CLOSED);
-      double since = one.clock.now();
-      while (one.to(2) == null) {
-        one.clock.advance(1);
+              .openSwitchConnections();
+      seeded.connectionTo(2).lose(Loss.CLOSED);
+      double lostAt = seeded.clock.now();
+      while (seeded.connectionTo(2) == null) {
+        seeded.clock.advance(1);
       }
-      again.add(one.clock.now() - since);
+      reconnectDelays.add(seeded.clock.now() - lostAt);
     }
-    assertTrue(again.size() >= 10 && again.last() - again.first() > 25, again.toString());
+    assertTrue(
+        reconnectDelays.size() >= 10 && reconnectDelays.last() - reconnectDelays.first() > 25,
+        reconnectDelays.toString());
   }
 
   @Test
-  void callsFromBeforeASwitchStartedAgainAreReleasedAndLaterOnesStand() {
-    standing(7);
-    double started = bed.clock.now() + 10;
-    bed.clock.advance(20);
-    standing(8);
-    bed.to(8500)
-        .feed(
+  void aSwitchRestartReleasesOnlyTheCallsEstablishedBeforeIt() {
+    establish(7);
+    double restartedAt = harness.clock.now() + 10;
+    harness.clock.advance(20);
+    establish(8);
+    harness
+        .connectionTo(8500)
+        .deliver(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"in_service\","
                 + "\"startedAtMs\":"
-                + Math.round(started)
+                + Math.round(restartedAt)
                 + "}]}}");
-    assertEquals(List.of("12 7 cause 41"), caller.news());
-    bed.to(2).feed(Bed.close(8, 16, ""));
-    assertEquals(List.of("12 8 cause 16"), caller.news());
+    assertEquals(List.of("12 7 cause 41"), caller.takeSent());
+    harness.connectionTo(2).deliver(FrontEndHarness.close(8, 16, ""));
+    assertEquals(List.of("12 8 cause 16"), caller.takeSent());
   }
 
   @Test
-  void callsToTheOwnExchangeOrOneThatTheListLacksAreThePolicysMatter() {
-    bed.to(8500)
-        .feed(
+  void passesCallsToTheLocalOrAnUnlistedExchangeToThePolicy() {
+    harness
+        .connectionTo(8500)
+        .deliver(
             "{\"pos\":2,\"hosts\":{\"generation\":2,\"reset\":true,\"instances\":[{\"instanceId\":"
                 + "\"s1\",\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"in_service\","
                 + "\"startedAtMs\":0}]}}");
-    script.news();
-    caller.feed(Bed.setUp(7, CallerMessage.FIGURES, "dest:2;width:1;via:-1"));
-    caller.feed(Bed.setUp(8, CallerMessage.FIGURES, "dest:0;width:1;via:-1"));
-    assertEquals(List.of("call 7 3000", "call 8 3000"), script.news());
+    policy.takeEvents();
+    caller.deliver(FrontEndHarness.setUp(7, CallerMessage.FIGURES, "dest:2;width:1;via:-1"));
+    caller.deliver(FrontEndHarness.setUp(8, CallerMessage.FIGURES, "dest:0;width:1;via:-1"));
+    assertEquals(List.of("call 7 3000", "call 8 3000"), policy.takeEvents());
   }
 
   @Test
-  void theTimeThatASetUpWaitedUnreadIsTheCallers() {
-    byte[] setUp = Bed.setUp(7);
-    caller.feed(Arrays.copyOf(setUp, setUp.length - 1));
-    double arrived = bed.clock.now();
-    bed.clock.stall(800);
-    caller.feedAt(Arrays.copyOfRange(setUp, setUp.length - 1, setUp.length), arrived);
-    assertEquals(List.of("call 7 2200"), script.news());
+  void subtractsTheTimeASetUpWaitedUnreadFromThePatience() {
+    byte[] setUp = FrontEndHarness.setUp(7);
+    caller.deliver(Arrays.copyOf(setUp, setUp.length - 1));
+    double arrived = harness.clock.now();
+    harness.clock.stall(800);
+    caller.deliverReadAt(Arrays.copyOfRange(setUp, setUp.length - 1, setUp.length), arrived);
+    assertEquals(List.of("call 7 2200"), policy.takeEvents());
   }
 
   @Test
-  void moreThanFourConnectionsAreNeverMadeToOneSwitch() {
+  void opensAtMostThreeConnectionsToASwitch() {
     for (int i = 1; i <= 200; i++) {
-      caller.feed(Bed.setUp(i));
-      bed.connected.stream().filter(w -> w.port == 2 && !w.ended).forEach(Bed.FakeWire::open);
+      caller.deliver(FrontEndHarness.setUp(i));
+      harness.connections.stream()
+          .filter(connection -> connection.port == 2 && !connection.closed)
+          .forEach(FrontEndHarness.FakeConnection::establish);
     }
-    long made = bed.connected.stream().filter(w -> w.port == 2).count();
-    assertEquals(3, made);
-    assertFalse(bed.to(2).ended);
+    long opened = harness.connections.stream().filter(connection -> connection.port == 2).count();
+    assertEquals(3, opened);
+    assertFalse(harness.connectionTo(2).closed);
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/Bed.java
+++ b/isupfront/src/test/java/coveladder/isupfront/FrontEndHarness.java
@@ -17,8 +17,11 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** A front in virtual time, with wires that the test holds at their other ends. */
-final class Bed implements Transport {
+/**
+ * Runs a front end in virtual time. The test plays the remote end of all connections: callers, the
+ * switches at ports 2 and 3, and the journal service at port 8500.
+ */
+final class FrontEndHarness implements Transport {
   static final byte[] CONFIG =
       """
       {"name":"n0","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","journal":"127.0.0.9:8500",
@@ -39,51 +42,53 @@
           .getBytes(StandardCharsets.UTF_8);
 
   final VirtualClock clock = new VirtualClock(1e12);
-  final List<FakeWire> connected = new ArrayList<>();
+  final List<FakeConnection> connections = new ArrayList<>();
   final PlatformSettings settings;
-  final IsupFrontEnd front;
+  final IsupFrontEnd frontEnd;
   boolean listening = true;
 
-  Bed(Function<CallPolicy.Actions, CallPolicy> policies) {
-    this(policies, Limits.forDescriptors(256, 3));
+  FrontEndHarness(Function<CallPolicy.Actions, CallPolicy> policyFactory) {
+    this(policyFactory, Limits.forDescriptors(256, 3));
   }
 
-  Bed(Function<CallPolicy.Actions, CallPolicy> policies, Limits limits) {
-    this(policies, limits, config -> config);
+  FrontEndHarness(Function<CallPolicy.Actions, CallPolicy> policyFactory, Limits limits) {
+    this(policyFactory, limits, config -> config);
   }
 
-  /** With something changed in the configuration. */
-  Bed(
-      Function<CallPolicy.Actions, CallPolicy> policies,
+  /** Creates a harness with a changed configuration. */
+  FrontEndHarness(
+      Function<CallPolicy.Actions, CallPolicy> policyFactory,
       Limits limits,
       UnaryOperator<String> change) {
     String config = change.apply(new String(CONFIG, StandardCharsets.UTF_8));
     settings = PlatformSettings.read(config.getBytes(StandardCharsets.UTF_8));
-    front = new IsupFrontEnd(settings, limits, this, clock, policies);
-    front.start();
+    frontEnd = new IsupFrontEnd(settings, limits, this, clock, policyFactory);
+    frontEnd.start();
   }
 
-  /** One wire, seen from its other end. */
-  final class FakeWire implements Connection {
+  /** A connection of the front end, operated by the test from the remote end. */
+  final class FakeConnection implements Connection {
+    /** Port that the front end connected to; 0 for a connection from a caller. */
     final int port;
-    private ConnectionListener user;
+
+    private ConnectionListener listener;
     private final LineFramer lines = new LineFramer(1 << 20);
     private final CallerFramer messages = new CallerFramer(1 << 16);
     final List<String> sent = new ArrayList<>();
-    boolean ended;
+    boolean closed;
 
-    FakeWire(int port, ConnectionListener user) {
+    FakeConnection(int port, ConnectionListener listener) {
       this.port = port;
-      this.user = user;
+      this.listener = listener;
     }
 
     @Override
     public boolean send(byte[] octets) {
       try {
         if (port == 0) {
-          messages.feed(octets, body -> sent.add(told(body)));
+          messages.feed(octets, body -> sent.add(describeCallerMessage(body)));
         } else {
-          lines.feed(octets, line -> sent.add(said(line)));
+          lines.feed(octets, line -> sent.add(describeSwitchLine(line)));
         }
       } catch (MalformedException e) {
         throw new AssertionError(e);
@@ -93,66 +98,74 @@
 
     @Override
     public void close() {
-      ended = true;
+      closed = true;
     }
 
     @Override
     public void reset() {
-      ended = true;
+      closed = true;
     }
 
-    void open() {
-      user.opened();
+    /** Reports the connection as established. */
+    void establish() {
+      listener.opened();
     }
 
-    void feed(byte[] octets) {
-      feedAt(octets, clock.now());
+    /** Delivers octets and runs the tasks that are due. */
+    void deliver(byte[] octets) {
+      deliverReadAt(octets, clock.now());
     }
 
-    /** Octets that were read at an earlier clock. */
-    void feedAt(byte[] octets, double arrived) {
-      user.received(octets, arrived);
+    /** Delivers octets that were read from the network at an earlier time. */
+    void deliverReadAt(byte[] octets, double arrived) {
+      listener.received(octets, arrived);
       clock.advance(0);
     }
 
-    /** Octets that are there to be heard before the front's next turn. */
-    void feedTogether(byte[] octets) {
-      user.received(octets, clock.now());
+    /** Delivers octets without running the tasks that are due. */
+    void deliverWithoutTurn(byte[] octets) {
+      listener.received(octets, clock.now());
     }
 
-    void feed(String line) {
-      feed((line + "\n").getBytes(StandardCharsets.UTF_8));
+    /** Delivers a line. */
+    void deliver(String line) {
+      deliver((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Reports the connection as lost. */
     void lose(Loss loss) {
-      ended = true;
-      user.lost(loss);
+      closed = true;
+      listener.lost(loss);
     }
 
-    /** What was sent since this was last asked. */
-    List<String> news() {
-      List<String> news = List.copyOf(sent);
+    /** Returns descriptions of the messages sent since the previous call. */
+    List<String> takeSent() {
+      List<String> taken = List.copyOf(sent);
       sent.clear();
-      return news;
+      return taken;
     }
   }
 
-  private static String told(byte[] body) {
+  /** Describes a message as type, call id, cause, wait and session description. */
+  private static String describeCallerMessage(byte[] body) {
     try {
       CallerMessage message = CallerCodec.decode(body);
-      String wait = message.text(CallerMessage.WAIT);
+      String retryAfter = message.text(CallerMessage.WAIT);
       return message.type()
           + " "
           + Long.parseLong(message.callId(), 16)
           + (message.cause() < 0 ? "" : " cause " + message.cause())
-          + (wait.isEmpty() ? "" : " wait " + wait)
+          + (retryAfter.isEmpty() ? "" : " wait " + retryAfter)
           + message.text(CallerMessage.DESCRIPTION);
     } catch (MalformedException e) {
       throw new AssertionError(e);
     }
   }
 
-  private static String said(byte[] line) {
+  /**
+   * Describes a message as kind, call id, code, class and text; other lines are kept as they are.
+   */
+  private static String describeSwitchLine(byte[] line) {
     if (line.length > 0 && line[0] != '{') {
       return new String(line, StandardCharsets.UTF_8);
     }
@@ -170,10 +183,10 @@
   }
 
   @Override
-  public Connection connect(String host, int port, ConnectionListener user) {
-    FakeWire wire = new FakeWire(port, user);
-    connected.add(wire);
-    return wire;
+  public Connection connect(String host, int port, ConnectionListener listener) {
+    FakeConnection connection = new FakeConnection(port, listener);
+    connections.add(connection);
+    return connection;
   }
 
   @Override
@@ -181,20 +194,23 @@
     listening = false;
   }
 
-  /** The newest wire to a port that has not ended. */
-  FakeWire to(int port) {
-    FakeWire found = null;
-    for (FakeWire wire : connected) {
-      found = wire.port == port && !wire.ended ? wire : found;
+  /** Returns the newest open connection to a port; null if there is none. */
+  FakeConnection connectionTo(int port) {
+    FakeConnection newest = null;
+    for (FakeConnection connection : connections) {
+      newest = connection.port == port && !connection.closed ? connection : newest;
     }
-    return found;
+    return newest;
   }
 
-  /** Opens the newest wires to both switches and tells the state of their groups. */
-  Bed open() {
+  /**
+   * Establishes the newest connections to both switches and reports the state of their circuit
+   * groups.
+   */
+  FrontEndHarness openSwitchConnections() {
     for (int port = 2; port <= 3; port++) {
-      to(port).open();
-      to(port).feed(status(30));
+      connectionTo(port).establish();
+      connectionTo(port).deliver(status(30));
     }
     return this;
   }
@@ -204,12 +220,16 @@
   }
 
   static String ready(int id, String text) {
-    return "{\"msg\":\"ready\",\"sid\":\"" + id(id) + "\",\"attrs\":{},\"text\":\"" + text + "\"}";
+    return "{\"msg\":\"ready\",\"sid\":\""
+        + callId(id)
+        + "\",\"attrs\":{},\"text\":\""
+        + text
+        + "\"}";
   }
 
   static String close(int id, int code, String attrs) {
     return "{\"msg\":\"close\",\"sid\":\""
-        + id(id)
+        + callId(id)
         + "\",\"attrs\":{"
         + attrs
         + "},\"code\":"
@@ -217,40 +237,44 @@
         + "}";
   }
 
-  static String id(int id) {
+  static String callId(int id) {
     return String.format("%016x", id);
   }
 
-  /** A caller's connection. */
-  FakeWire caller() {
-    FakeWire wire = new FakeWire(0, null);
-    wire.user = front.acceptCaller(wire);
-    return wire;
+  /** Opens a connection from a caller. */
+  FakeConnection connectCaller() {
+    FakeConnection connection = new FakeConnection(0, null);
+    connection.listener = frontEnd.acceptCaller(connection);
+    return connection;
   }
 
-  /** A set-up with fields changed; null leaves one out. */
+  /**
+   * Encodes a set-up.
+   *
+   * @param changes alternating parameter codes and values; null removes the parameter
+   */
   static byte[] setUp(int id, Object... changes) {
-    Map<Integer, byte[]> with = new LinkedHashMap<>();
-    put(with, CallerMessage.CLASS, "voice");
-    put(with, CallerMessage.LEFT, "3000");
-    put(with, CallerMessage.NUMBER, "7f3a9c21e0b4d655");
-    put(with, CallerMessage.FIGURES, "dest:1;width:1;via:-1");
-    put(with, CallerMessage.DESCRIPTION, "offer" + id);
+    Map<Integer, byte[]> parameters = new LinkedHashMap<>();
+    putOrRemove(parameters, CallerMessage.CLASS, "voice");
+    putOrRemove(parameters, CallerMessage.LEFT, "3000");
+    putOrRemove(parameters, CallerMessage.NUMBER, "7f3a9c21e0b4d655");
+    putOrRemove(parameters, CallerMessage.FIGURES, "dest:1;width:1;via:-1");
+    putOrRemove(parameters, CallerMessage.DESCRIPTION, "offer" + id);
     for (int i = 0; i < changes.length; i += 2) {
-      put(with, (Integer) changes[i], (String) changes[i + 1]);
+      putOrRemove(parameters, (Integer) changes[i], (String) changes[i + 1]);
     }
-    return CallerCodec.encode(new CallerMessage(CallerMessage.SET_UP, id(id), with));
+    return CallerCodec.encode(new CallerMessage(CallerMessage.SET_UP, callId(id), parameters));
   }
 
-  private static void put(Map<Integer, byte[]> with, int code, String text) {
+  private static void putOrRemove(Map<Integer, byte[]> parameters, int code, String text) {
     if (text == null) {
-      with.remove(code);
+      parameters.remove(code);
     } else {
-      with.put(code, text.getBytes(StandardCharsets.UTF_8));
+      parameters.put(code, text.getBytes(StandardCharsets.UTF_8));
     }
   }
 
   static byte[] release(int id) {
-    return CallerCodec.encode(CallerMessage.withCause(CallerMessage.RELEASE, id(id), 16));
+    return CallerCodec.encode(CallerMessage.withCause(CallerMessage.RELEASE, callId(id), 16));
   }
 }
--- a/isupfront/src/test/java/coveladder/isupfront/Script.java
+++ b/isupfront/src/test/java/coveladder/isupfront/ScriptedPolicy.java
@@ -4,22 +4,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A policy that does what a test says: by default it sends each call to s1 and then refuses it. */
-class Script implements CallPolicy {
+/**
+ * A policy that records its events. It sends each call to switch s1 with a time limit of 1 s and
+ * refuses it when that attempt fails.
+ */
+class ScriptedPolicy implements CallPolicy {
   final List<String> events = new ArrayList<>();
   final Actions actions;
 
-  Script(Actions actions) {
+  ScriptedPolicy(Actions actions) {
     this.actions = actions;
   }
 
-  List<String> news() {
-    List<String> news = List.copyOf(events);
+  /** Returns the events recorded since the previous call. */
+  List<String> takeEvents() {
+    List<String> taken = List.copyOf(events);
     events.clear();
-    return news;
+    return taken;
   }
 
-  private static long id(String call) {
+  private static long parseId(String call) {
     return Long.parseLong(call, 16);
   }
 
@@ -27,26 +31,28 @@
   public void onStart(double now) {}
 
   @Override
-  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
-    news.entries().forEach(e -> events.add("list " + e.id() + " " + e.state()));
+  public void onDirectoryUpdate(double now, DirectoryUpdate update) {
+    update
+        .entries()
+        .forEach(exchange -> events.add("directory " + exchange.id() + " " + exchange.state()));
   }
 
   @Override
   public void onCall(double now, Call call) {
-    events.add("call " + id(call.id()) + " " + Math.round(call.patience()));
+    events.add("call " + parseId(call.id()) + " " + Math.round(call.patience()));
     actions.send(call.id(), "s1", 1_000);
   }
 
   @Override
-  public void onEstablished(double now, Established stands) {
-    events.add("stands " + id(stands.call()));
+  public void onEstablished(double now, Established established) {
+    events.add("established " + parseId(established.call()));
   }
 
   @Override
   public void onAttemptEnded(double now, AttemptEnded ended) {
     events.add(
         "ended "
-            + id(ended.call())
+            + parseId(ended.call())
             + " "
             + ended.outcome()
             + " "
@@ -59,7 +65,7 @@
 
   @Override
   public void onCallerAbandoned(double now, String call) {
-    events.add("left " + id(call));
+    events.add("abandoned " + parseId(call));
   }
 
   @Override
--- a/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
@@ -11,27 +11,35 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Minutes of ever new calls, callers' connections and switches with the policy that ships. */
+/**
+ * Runs five minutes of new calls, caller connections and switches with the production policy.
+ * Guards against calls or timers that accumulate.
+ */
 class SoakTest {
   private static final int MINUTES = 5;
   private final SplittableRandom random = new SplittableRandom(7);
-  private final Bed bed = new Bed(deeds -> new NestedThresholdPolicy(settings(), 7, deeds)).open();
-  private final ArrayDeque<Runnable> due = new ArrayDeque<>();
-  private int next = 1;
+  private final FrontEndHarness harness =
+      new FrontEndHarness(actions -> new NestedThresholdPolicy(settings(), 7, actions))
+          .openSwitchConnections();
+  private final ArrayDeque<Runnable> pendingReplies = new ArrayDeque<>();
+  private int nextId = 1;
   private int answered;
 
   private static coveladder.CallPolicy.Settings settings() {
-    return PlatformSettings.read(Bed.CONFIG).policySettings();
+    return PlatformSettings.read(FrontEndHarness.CONFIG).policySettings();
   }
 
-  private void call() {
-    int id = next++;
-    Bed.FakeWire caller = bed.caller();
+  private void placeCall() {
+    int id = nextId++;
+    FrontEndHarness.FakeConnection caller = harness.connectCaller();
     int dest = 1 + random.nextInt(2);
-    caller.feed(Bed.setUp(id, CallerMessage.FIGURES, "dest:" + dest + ";width:1;via:-1"));
-    serve();
+    caller.deliver(
+        FrontEndHarness.setUp(id, CallerMessage.FIGURES, "dest:" + dest + ";width:1;via:-1"));
+    answerSetUps();
     List<String> answers =
-        caller.news().stream().filter(told -> told.matches("(9|12) " + id + "\\D.*")).toList();
+        caller.takeSent().stream()
+            .filter(message -> message.matches("(9|12) " + id + "\\D.*"))
+            .toList();
     answered += answers.isEmpty() ? 0 : 1;
     assertTrue(answers.size() <= 1, answers.toString());
     if (random.nextInt(3) == 0) {
@@ -39,68 +47,79 @@
     }
   }
 
-  /** Both switches answer what came, and end the call some hundred calls later. */
-  private void serve() {
-    for (Bed.FakeWire wire : List.copyOf(bed.connected)) {
-      if (wire.port == 8500 || wire.ended) {
+  /**
+   * Answers the set-ups that arrived at the switches: most are established and released about a
+   * hundred calls later, some are refused, and some are answered late.
+   */
+  private void answerSetUps() {
+    for (FrontEndHarness.FakeConnection connection : List.copyOf(harness.connections)) {
+      if (connection.port == 8500 || connection.closed) {
         continue;
       }
-      for (String said : wire.news()) {
-        String[] words = said.split(" ");
+      for (String message : connection.takeSent()) {
+        String[] words = message.split(" ");
         int id = words.length > 1 ? Integer.parseInt(words[1]) : 0;
         int kind = random.nextInt(60);
         if (!words[0].equals("OPEN")) {
           continue;
         } else if (kind == 0) {
-          wire.feed(Bed.close(id, 34, "\"note\":\"all_trunks_busy\",\"load\":\"free:3;size:30\""));
+          connection.deliver(
+              FrontEndHarness.close(
+                  id, 34, "\"note\":\"all_trunks_busy\",\"load\":\"free:3;size:30\""));
         } else if (kind == 1) {
-          due.add(() -> wire.feed(Bed.ready(id, "late")));
+          pendingReplies.add(() -> connection.deliver(FrontEndHarness.ready(id, "late")));
         } else {
-          wire.feed(Bed.ready(id, "answer"));
-          due.add(() -> wire.feed(Bed.close(id, 16, "\"load\":\"free:20;size:30\"")));
+          connection.deliver(FrontEndHarness.ready(id, "answer"));
+          pendingReplies.add(
+              () ->
+                  connection.deliver(
+                      FrontEndHarness.close(id, 16, "\"load\":\"free:20;size:30\"")));
         }
       }
     }
-    while (due.size() > 100) {
-      due.poll().run();
+    while (pendingReplies.size() > 100) {
+      pendingReplies.poll().run();
     }
   }
 
-  private void replaceSwitch(int pos) {
+  /** Lists a new switch at the address of the previous one and terminates that one. */
+  private void replaceSwitch(int position) {
     String event =
         "{\"pos\":%d,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":\"s-%d\","
             + "\"hostPort\":\"127.0.0.2:2\",\"cell\":1,\"lifecycle\":\"%s\",\"startedAtMs\":0}]}}";
-    bed.to(8500).feed(String.format(event, pos, pos, "in_service"));
-    bed.to(8500).feed(String.format(event, pos + 1, pos - 2, "terminated"));
-    bed.connected.removeIf(wire -> wire.ended);
-    bed.to(2).open();
-    bed.to(2).feed(Bed.status(30));
+    harness.connectionTo(8500).deliver(String.format(event, position, position, "in_service"));
+    harness
+        .connectionTo(8500)
+        .deliver(String.format(event, position + 1, position - 2, "terminated"));
+    harness.connections.removeIf(connection -> connection.closed);
+    harness.connectionTo(2).establish();
+    harness.connectionTo(2).deliver(FrontEndHarness.status(30));
   }
 
   @Test
-  void whatIsHeldStaysLevel() {
-    int pos = 2;
+  void stateDoesNotGrowOverTime() {
+    int position = 2;
     int[] timers = new int[MINUTES];
     for (int minute = 0; minute < MINUTES; minute++) {
       for (int i = 0; i < 60 * 20; i++) {
-        call();
-        bed.clock.advance(50);
+        placeCall();
+        harness.clock.advance(50);
         if (i % 20 == 0) {
-          bed.to(8500).feed(Integer.toString(pos - 1));
-          bed.to(3).feed(Bed.status(20));
+          harness.connectionTo(8500).deliver(Integer.toString(position - 1));
+          harness.connectionTo(3).deliver(FrontEndHarness.status(20));
         }
         if (i % 400 == 0) {
-          replaceSwitch(pos);
-          pos += 2;
+          replaceSwitch(position);
+          position += 2;
         }
       }
-      timers[minute] = bed.clock.scheduledTasks();
+      timers[minute] = harness.clock.scheduledTasks();
     }
-    assertTrue(answered > next / 2, answered + " of " + next);
-    assertTrue(bed.front.controller().callCount() < 300, bed.front.stateSummary());
+    assertTrue(answered > nextId / 2, answered + " of " + nextId);
+    assertTrue(harness.frontEnd.controller().callCount() < 300, harness.frontEnd.stateSummary());
     assertTrue(timers[MINUTES - 1] < 2 * timers[1] + 100, List.of(timers[1], timers[4]).toString());
-    due.forEach(Runnable::run);
-    bed.clock.advance(10_000);
-    assertEquals(0, bed.front.controller().pendingCallCount());
+    pendingReplies.forEach(Runnable::run);
+    harness.clock.advance(10_000);
+    assertEquals(0, harness.frontEnd.controller().pendingCallCount());
   }
 }
