--- a/isupfront/src/main/java/coveladder/isupfront/CallerConnection.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerConnection.java
@@ -24,7 +24,7 @@
   private final RecentIds refusedDuplicateIds = new RecentIds(MAX_REFUSED_IDS);
   private final Map<String, ReleaseSender.Release> recentReleases = new LinkedHashMap<>();
   private double lastMessageAt;
-  private boolean proven;
+  private boolean used;
   private boolean closed;
   private int unusableMessages;
   private int establishedCalls;
@@ -53,12 +53,12 @@
   }
 
   /** Whether it brought a test or a call that was established. */
-  boolean proven() {
-    return proven;
+  boolean used() {
+    return used;
   }
 
-  void markProven() {
-    proven = true;
+  void markUsed() {
+    used = true;
   }
 
   /** Number of established calls that were set up or resumed on this connection. */
@@ -68,7 +68,7 @@
 
   /** Counts an established call and returns the new number. */
   int countEstablished() {
-    proven = true;
+    used = true;
     return ++establishedCalls;
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
@@ -21,7 +21,7 @@
  *
  * <p>A RELEASE for a pending call abandons it only on the connection of its set-up. A RELEASE for
  * an established call is accepted on any connection, except one on which a set-up with that id was
- * refused as a duplicate.
+ * refused as a duplicate. Any other RELEASE is only acknowledged.
  */
 final class CallerRequests {
   private final CallController controller;
@@ -34,10 +34,14 @@
   private final Set<CallerConnection> connections = new LinkedHashSet<>();
   private final Map<String, CallerCall> calls = new HashMap<>();
   private int pendingCount;
+
+  /** Whether tests fail, so that new calls are sent to other controllers. */
   private boolean failingTests;
+
+  /** Whether each new set-up is refused. */
   private boolean refusingSetUps;
 
-  /** A pending or established call. */
+  /** A pending or established call; {@code connection} is the one on which its set-up arrived. */
   private static final class CallerCall {
     final SetUp setUp;
     final CallerConnection connection;
@@ -116,7 +120,7 @@
   void closeSilentConnections() {
     double now = scheduler.now();
     for (CallerConnection connection : new ArrayList<>(connections)) {
-      boolean unused = !connection.proven() && connection.pendingCalls().isEmpty();
+      boolean unused = !connection.used() && connection.pendingCalls().isEmpty();
       if (connection.silenceMillis(now) > limits.callerSilenceMillis()
           && (connection.hasPartialMessage() || unused)) {
         counters.increment("caller links closed as silent");
@@ -161,7 +165,7 @@
   private void onTest(CallerConnection connection, CallerMessage message) {
     int passed = !failingTests && switches.isStateKnown() ? 1 : 0;
     connection.send(CallerMessage.withCause(CallerMessage.TESTED, message.callId(), passed));
-    connection.markProven();
+    connection.markUsed();
   }
 
   private void onSetUp(CallerConnection connection, CallerMessage message, double arrived) {
@@ -244,7 +248,7 @@
 
   /**
    * Handles a release: it abandons a pending call on the connection of its set-up, and ends an
-   * established call on any connection that was not refused the same id.
+   * established call on any connection on which no set-up with that id was refused as a duplicate.
    */
   private void onRelease(CallerConnection connection, CallerMessage message) {
     String id = message.callId();
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -35,8 +35,8 @@
   private static final double RELEASE_PERIOD_MILLIS = 100;
 
   /**
-   * Time that the process stays after it has closed its connections. A caller sends a set-up that
-   * crosses the close by 50 ms again to another controller.
+   * Time that the process stays after it has closed its connections. A set-up that crosses the
+   * close of its connection by 50 ms is sent again by its caller, to another controller.
    */
   private static final double CLOSE_CROSSING_MILLIS = 100;
 
@@ -49,7 +49,11 @@
   private final JournalFollower journal;
   private final Transport transport;
   private final double shutdownWindowMillis;
+
+  /** Clock at which the end was requested, ms; NaN before. */
   private double terminationRequestedAt = Double.NaN;
+
+  /** Clock at which all connections were closed, ms; NaN before. */
   private double connectionsClosedAt = Double.NaN;
 
   /**
@@ -180,7 +184,10 @@
     }
   }
 
-  /** Whether the shutdown is complete: connections are closed and every call has its answer. */
+  /**
+   * Whether the shutdown is complete: every call has its answer, and the connections were closed
+   * long enough ago.
+   */
   public boolean isTerminated() {
     return scheduler.now() - connectionsClosedAt >= CLOSE_CROSSING_MILLIS
         && callers.pendingCount() == 0;
--- a/isupfront/src/main/java/coveladder/isupfront/Limits.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Limits.java
@@ -6,7 +6,8 @@
  * @param maxMessageBytes maximum length of a message or line, octets
  * @param maxCallerConnections maximum number of caller connections
  * @param maxPendingCalls maximum number of calls without a final answer
- * @param maxTrackedCalls number of pending and established calls from which on no call is resumed
+ * @param maxTrackedCalls number of pending and established calls at which no further call is
+ *     resumed
  * @param callerSilenceMillis time without a complete message after which a caller connection is
  *     closed if it is within a message or was never used for a test or an established call, ms
  * @param maxUnusableMessages number of unusable set-ups after which a caller connection is closed
--- a/isupfront/src/main/java/coveladder/isupfront/ReleaseSender.java
+++ b/isupfront/src/main/java/coveladder/isupfront/ReleaseSender.java
@@ -27,7 +27,11 @@
   private static final int MAX_RECENT_PER_CONNECTION = 256;
 
   private final Scheduler scheduler;
-  private final Set<CallerConnection> provenConnections = new LinkedHashSet<>();
+
+  /** Open connections that have brought an established call. */
+  private final Set<CallerConnection> connectionsWithCalls = new LinkedHashSet<>();
+
+  /** Releases that wait for a connection, by call id, oldest first. */
   private final Map<String, Release> unsent = new LinkedHashMap<>();
 
   /**
@@ -48,7 +52,7 @@
    */
   void callEstablished(CallerConnection connection) {
     if (connection.countEstablished() == 1) {
-      provenConnections.add(connection);
+      connectionsWithCalls.add(connection);
     }
     sendUnsent(connection);
   }
@@ -69,7 +73,7 @@
    * connection has brought an established call.
    */
   void setUpAccepted(CallerConnection connection) {
-    if (provenConnections.isEmpty()) {
+    if (connectionsWithCalls.isEmpty()) {
       sendUnsent(connection);
     }
   }
@@ -97,7 +101,7 @@
    */
   private CallerConnection mostUsedConnection() {
     CallerConnection mostUsed = null;
-    for (CallerConnection connection : provenConnections) {
+    for (CallerConnection connection : connectionsWithCalls) {
       mostUsed =
           mostUsed == null || connection.establishedCalls() >= mostUsed.establishedCalls()
               ? connection
@@ -134,7 +138,7 @@
 
   /** Sends the recent releases of an ended connection again, as they may not have been read. */
   void connectionLost(CallerConnection connection) {
-    provenConnections.remove(connection);
+    connectionsWithCalls.remove(connection);
     forgetOldReleases(connection);
     connection.recentReleases().forEach((id, sent) -> release(null, id, sent.cause()));
     connection.recentReleases().clear();
--- a/isupfront/src/main/java/coveladder/isupfront/SetUp.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SetUp.java
@@ -39,6 +39,7 @@
     boolean returned,
     boolean retry,
     String establishedAt) {
+  /** Maximum length of a called number, characters. */
   private static final int MAX_NUMBER_LENGTH = 64;
 
   /** Maximum time left, as a multiple of the caller time-out of the call class. */
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchConnection.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchConnection.java
@@ -21,6 +21,8 @@
   private boolean ended;
   private boolean unresponsive;
   private double lastReceivedAt;
+
+  /** Clock at which the last part of an incomplete line arrived, ms; NaN if there is none. */
   private double partialLineSince = Double.NaN;
 
   SwitchConnection(SwitchLink link, int maxLineBytes, double now) {
@@ -53,8 +55,8 @@
   }
 
   /**
-   * Whether an attempt was cancelled or timed out while nothing arrived. Such a connection is given
-   * no new set-ups until octets arrive.
+   * Whether an attempt timed out or was cancelled and nothing has arrived since it was started.
+   * Such a connection is given no new set-ups until octets arrive.
    */
   boolean unresponsive() {
     return unresponsive;
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -71,7 +71,12 @@
   private boolean stateKnown;
   private boolean inDirectory = true;
   private double lastHeardAt;
+
+  /**
+   * Clock of the first refused connection since one was last established, ms; NaN if there is none.
+   */
   private double refusingSince = Double.NaN;
+
   private boolean reconnectScheduled;
   private double retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
   private final double silenceCheckMillis;
@@ -338,7 +343,7 @@
 
   /**
    * Treats the switch as gone: resets its open connections, with the set-ups outstanding on them,
-   * and disconnects its established calls.
+   * and disconnects its established calls. Has no effect on a switch that is not in use.
    */
   private void declareGone(String reason) {
     if (!isInUse()) {
--- a/isupfront/src/main/java/coveladder/isupfront/Transport.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Transport.java
@@ -46,7 +46,7 @@
       return false;
     }
 
-    /** The connection failed or was closed by the remote end. */
+    /** The connection could not be established, broke, or was closed by the remote end. */
     void lost(Loss loss);
   }
 
