--- a/bench/src/main/java/coveladder/bench/ParseBench.java
+++ b/bench/src/main/java/coveladder/bench/ParseBench.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Reading and writing an INVITE, beside JAIN SIP in the same run. */
+/** Compares parsing and writing of an INVITE with JAIN SIP in the same run. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -41,31 +41,31 @@
           .getBytes(StandardCharsets.ISO_8859_1);
 
   private final SipParser parser = new SipParser(128);
-  private final StringMsgParser jain = new StringMsgParser();
+  private final StringMsgParser jainParser = new StringMsgParser();
 
-  /** Reads with this project's parser, and looks at what a transaction needs. */
+  /** Parses with this project's parser and reads the fields that identify its transaction. */
   @Benchmark
   public int parseOurs() throws SipParseException {
     SipMessage message = parser.parse(INVITE);
     return message.via().branch().length() + message.callId().length();
   }
 
-  /** Reads with JAIN SIP, and looks at the same. */
+  /** Parses with JAIN SIP and reads the same fields. */
   @Benchmark
   public int parseJain() throws ParseException {
-    SIPMessage message = jain.parseSIPMessage(INVITE, true, false, null);
+    SIPMessage message = jainParser.parseSIPMessage(INVITE, true, false, null);
     return message.getTopmostVia().getBranch().length() + message.getCallId().getCallId().length();
   }
 
-  /** Reads and writes with this project's code. */
+  /** Parses and writes with this project's code. */
   @Benchmark
   public int parseAndWriteOurs() throws SipParseException {
     return parser.parse(INVITE).toBytes().length;
   }
 
-  /** Reads and writes with JAIN SIP. */
+  /** Parses and writes with JAIN SIP. */
   @Benchmark
   public int parseAndWriteJain() throws ParseException {
-    return jain.parseSIPMessage(INVITE, true, false, null).encodeAsBytes("udp").length;
+    return jainParser.parseSIPMessage(INVITE, true, false, null).encodeAsBytes("udp").length;
   }
 }
--- a/bench/src/main/java/coveladder/bench/RestartBench.java
+++ b/bench/src/main/java/coveladder/bench/RestartBench.java
@@ -20,30 +20,33 @@
 import java.util.stream.Stream;
 
 /**
- * A start with so many standing calls: time until the store is read and until the controller takes
- * calls, octets a call on disk, and how much is written for that. Argument: calls.
+ * Measures the start of a controller whose store holds a given number of established calls: the
+ * time until the store is read and until the controller accepts calls, the octets per call on disk,
+ * and how many octets are written to store them. Argument: number of calls.
  */
 public final class RestartBench {
-  private static final int GROUP = 2_000;
-  private static final String TOKEN = "000000000000";
+  private static final int CALLS_PER_SYNC = 2_000;
+
+  /** The token in the template's identifiers; each stored call has its own token in its place. */
+  private static final String TEMPLATE_TOKEN = "000000000000";
 
   private RestartBench() {}
 
-  /** Runs one measurement and prints it. */
+  /** Fills a store, then measures and prints three starts from it. */
   public static void main(String[] arguments) throws Exception {
-    int count = Integer.parseInt(arguments[0]);
+    int callCount = Integer.parseInt(arguments[0]);
     Path folder = Files.createTempDirectory("restart-bench");
     try {
-      fill(folder, count);
+      fillStore(folder, callCount);
       for (int i = 0; i < 3; i++) {
-        start(folder);
+        measureStart(folder);
       }
     } finally {
-      delete(folder);
+      deleteRecursively(folder);
     }
   }
 
-  private static void delete(Path folder) throws Exception {
+  private static void deleteRecursively(Path folder) throws Exception {
     try (Stream<Path> files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(file);
@@ -51,72 +54,76 @@
     }
   }
 
-  /** Calls that differ in their names only, with legs as the front writes them. */
-  private static void fill(Path folder, int count) throws Exception {
-    SavedCall like = StandingCall.make(TOKEN);
-    long payload = (long) count * (like.callerLeg().length + like.attemptLeg().length);
-    long written = written();
-    long begun = System.nanoTime();
+  /**
+   * Stores calls that differ only in their identifiers, with legs as the front end encodes them,
+   * and prints how much was written.
+   */
+  private static void fillStore(Path folder, int callCount) throws Exception {
+    SavedCall template = SavedCallRecorder.recordCall(TEMPLATE_TOKEN);
+    long legBytes = (long) callCount * (template.callerLeg().length + template.attemptLeg().length);
+    long writtenBytesBefore = writtenBytes();
+    long startNanos = System.nanoTime();
     try (DiskStore store = new DiskStore(folder, Runnable::run)) {
-      for (int i = 0; i < count; i++) {
-        store.put(named(like, String.format(Locale.ROOT, "%012x", i + 1)));
-        if (i % GROUP == GROUP - 1) {
+      for (int i = 0; i < callCount; i++) {
+        store.put(withToken(template, String.format(Locale.ROOT, "%012x", i + 1)));
+        if (i % CALLS_PER_SYNC == CALLS_PER_SYNC - 1) {
           sync(store);
         }
       }
       sync(store);
     }
-    long size = Files.size(folder.resolve("calls.mv"));
+    long fileBytes = Files.size(folder.resolve("calls.mv"));
     System.out.printf(
         Locale.ROOT,
         "%d calls kept in %.1f s: %.0f octets a call in the file, legs %.0f; written %.2f times%n",
-        count,
-        (System.nanoTime() - begun) / 1e9,
-        (double) size / count,
-        (double) payload / count,
-        (double) (written() - written) / payload);
+        callCount,
+        (System.nanoTime() - startNanos) / 1e9,
+        (double) fileBytes / callCount,
+        (double) legBytes / callCount,
+        (double) (writtenBytes() - writtenBytesBefore) / legBytes);
   }
 
   private static void sync(DiskStore store) throws Exception {
-    CompletableFuture<Boolean> done = new CompletableFuture<>();
-    store.sync(done::complete);
-    if (!done.get(60, TimeUnit.SECONDS)) {
+    CompletableFuture<Boolean> synced = new CompletableFuture<>();
+    store.sync(synced::complete);
+    if (!synced.get(60, TimeUnit.SECONDS)) {
       throw new IllegalStateException("the disk failed: " + store.failureReason());
     }
   }
 
-  private static SavedCall named(SavedCall like, String token) {
-    Call call = like.call();
-    Call named =
+  /** A copy of the template whose identifiers contain this token. */
+  private static SavedCall withToken(SavedCall template, String token) {
+    Call templateCall = template.call();
+    Call call =
         new Call(
             token,
-            call.type(),
-            call.patience(),
-            call.width(),
-            call.number(),
-            call.destination(),
-            call.transit(),
-            call.redial(),
-            call.returned());
+            templateCall.type(),
+            templateCall.patience(),
+            templateCall.width(),
+            templateCall.number(),
+            templateCall.destination(),
+            templateCall.transit(),
+            templateCall.redial(),
+            templateCall.returned());
     return new SavedCall(
-        named,
-        like.phase(),
-        like.attempt(),
-        like.exchange(),
-        named(like.callerLeg(), token),
-        named(like.attemptLeg(), token),
-        like.answer(),
-        like.deadline());
+        call,
+        template.phase(),
+        template.attempt(),
+        template.exchange(),
+        withToken(template.callerLeg(), token),
+        withToken(template.attemptLeg(), token),
+        template.answer(),
+        template.deadline());
   }
 
-  private static byte[] named(byte[] leg, String token) {
+  private static byte[] withToken(byte[] leg, String token) {
     return new String(leg, StandardCharsets.ISO_8859_1)
-        .replace(TOKEN, token)
+        .replace(TEMPLATE_TOKEN, token)
         .getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Octets that this process has written to disk so far. */
-  private static long written() throws Exception {
+  /** Octets that this process has passed to write calls so far; 0 if unknown. */
+  private static long writtenBytes() throws Exception {
     for (String line : Files.readAllLines(Path.of("/proc/self/io"))) {
       if (line.startsWith("wchar: ")) {
         return Long.parseLong(line.substring(7));
@@ -125,27 +132,33 @@
     return 0;
   }
 
-  private static void start(Path folder) throws Exception {
-    long begun = System.nanoTime();
-    try (Sockets sockets = new Sockets(1);
-        EventLoop loop = new EventLoop("controller", begun, 1_000_000)) {
+  /** Starts a controller on the stored calls and prints how long that took. */
+  private static void measureStart(Path folder) throws Exception {
+    long startNanos = System.nanoTime();
+    try (Sockets sockets = new Sockets(/* selectorThreads= */ 1);
+        EventLoop loop = new EventLoop("controller", startNanos, /* queueCapacity= */ 1_000_000)) {
       DiskStore store = new DiskStore(folder, loop::execute);
-      double read = (System.nanoTime() - begun) / 1e6;
-      SocketNode node = WholePath.Run.node(sockets, loop);
-      Hop nowhere = new Hop(Transport.UDP, "127.0.0.1", 9);
-      SipFront front =
-          WholePath.Run.front(node, nowhere, store, new RecoveryRate.Budget(1, 3_600_000));
+      double storeReadMillis = (System.nanoTime() - startNanos) / 1e6;
+      SocketNode node = WholePath.Run.newNode(sockets, loop);
+      Hop unusedSwitchAddress = new Hop(Transport.UDP, "127.0.0.1", 9);
+      SipFront frontEnd =
+          WholePath.Run.persistentFrontEnd(
+              node,
+              unusedSwitchAddress,
+              store,
+              new RecoveryRate.Budget(/* callsPerSecond= */ 1, /* verifyDelayMillis= */ 3_600_000));
       loop.start();
-      node.start(front);
-      CompletableFuture<Double> taken = new CompletableFuture<>();
-      loop.execute(() -> taken.complete((System.nanoTime() - begun) / 1e6));
-      double ready = taken.get(120, TimeUnit.SECONDS);
+      node.start(frontEnd);
+      // The task runs after the start of the front end, when new calls are accepted.
+      CompletableFuture<Double> firstTaskMillis = new CompletableFuture<>();
+      loop.execute(() -> firstTaskMillis.complete((System.nanoTime() - startNanos) / 1e6));
+      double readyMillis = firstTaskMillis.get(120, TimeUnit.SECONDS);
       System.out.printf(
           Locale.ROOT,
           "  store read after %.0f ms, %d calls held and new ones taken after %.0f ms%n",
-          read,
-          front.controller().callCount(),
-          ready);
+          storeReadMillis,
+          frontEnd.controller().callCount(),
+          readyMillis);
       store.close();
       node.close();
     }
--- a/bench/src/main/java/coveladder/bench/TimedPolicy.java
+++ b/bench/src/main/java/coveladder/bench/TimedPolicy.java
@@ -2,74 +2,75 @@
 
 import coveladder.CallPolicy;
 
-/** A policy whose time is measured, with the acts that it asks for within its events. */
+/** Passes all events on to another policy and measures the time that it takes to handle them. */
 final class TimedPolicy implements CallPolicy {
-  private final CallPolicy inner;
-  private final Clock clock;
+  private final CallPolicy delegate;
+  private final Stopwatch stopwatch;
 
-  TimedPolicy(CallPolicy inner, Clock clock) {
-    this.inner = inner;
-    this.clock = clock;
+  TimedPolicy(CallPolicy delegate, Stopwatch stopwatch) {
+    this.delegate = delegate;
+    this.stopwatch = stopwatch;
   }
 
-  /** Time spent in the policy, its actions included, as they run within its calls. */
-  static final class Clock {
-    private volatile long nanos;
+  /** The total time spent in a policy. The actions that it requests run meanwhile and count too. */
+  static final class Stopwatch {
+    private volatile long totalNanos;
 
-    long nanos() {
-      return nanos;
+    /** Time spent so far, ns. */
+    long totalNanos() {
+      return totalNanos;
     }
 
-    private void time(Runnable event) {
-      long begun = System.nanoTime();
-      event.run();
-      long spent = System.nanoTime() - begun;
-      nanos = nanos + spent;
+    private void measure(Runnable eventHandler) {
+      long startNanos = System.nanoTime();
+      eventHandler.run();
+      long elapsedNanos = System.nanoTime() - startNanos;
+      totalNanos = totalNanos + elapsedNanos;
     }
   }
 
   @Override
   public void onStart(double now) {
-    clock.time(() -> inner.onStart(now));
+    stopwatch.measure(() -> delegate.onStart(now));
   }
 
   @Override
-  public void onDirectoryUpdate(double now, DirectoryUpdate news) {
-    clock.time(() -> inner.onDirectoryUpdate(now, news));
+  public void onDirectoryUpdate(double now, DirectoryUpdate update) {
+    stopwatch.measure(() -> delegate.onDirectoryUpdate(now, update));
   }
 
   @Override
   public void onCall(double now, Call call) {
-    clock.time(() -> inner.onCall(now, call));
+    stopwatch.measure(() -> delegate.onCall(now, call));
   }
 
   @Override
-  public void onEstablished(double now, Established stands) {
-    clock.time(() -> inner.onEstablished(now, stands));
+  public void onEstablished(double now, Established established) {
+    stopwatch.measure(() -> delegate.onEstablished(now, established));
   }
 
   @Override
   public void onAttemptEnded(double now, AttemptEnded ended) {
-    clock.time(() -> inner.onAttemptEnded(now, ended));
+    stopwatch.measure(() -> delegate.onAttemptEnded(now, ended));
   }
 
   @Override
   public void onCallerAbandoned(double now, String call) {
-    clock.time(() -> inner.onCallerAbandoned(now, call));
+    stopwatch.measure(() -> delegate.onCallerAbandoned(now, call));
   }
 
   @Override
   public void onLoadReport(double now, LoadReport report) {
-    clock.time(() -> inner.onLoadReport(now, report));
+    stopwatch.measure(() -> delegate.onLoadReport(now, report));
   }
 
   @Override
   public void onTimer(double now, long label) {
-    clock.time(() -> inner.onTimer(now, label));
+    stopwatch.measure(() -> delegate.onTimer(now, label));
   }
 
   @Override
   public void onPeerMessage(double now, int from, byte[] payload) {
-    clock.time(() -> inner.onPeerMessage(now, from, payload));
+    stopwatch.measure(() -> delegate.onPeerMessage(now, from, payload));
   }
 }
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -27,193 +27,230 @@
 import java.util.Locale;
 
 /**
- * Whole set-ups through one controller on loopback: rate, delay, allocation, heap for each standing
- * call, and the module's share of the time. Arguments: transport, calls a second, calls, {@code
- * hold} for calls that stay, {@code kept} for calls that are kept on disk.
+ * Measures complete set-ups through one controller on loopback: rate, set-up delay, allocation,
+ * heap per established call, and the time spent in the policy.
+ *
+ * <p>Arguments: transport, calls per second, number of calls; then, optionally, {@code hold} if the
+ * calls are not released and {@code kept} if they are stored on disk.
  */
 public final class WholePath {
-  private static final int QUEUE = 1_000_000;
+  private static final int QUEUE_CAPACITY = 1_000_000;
 
   private WholePath() {}
 
   /** Runs one measurement and prints it. */
   public static void main(String[] arguments) throws Exception {
     Transport transport = Transport.fromName(arguments[0]);
-    double rate = Double.parseDouble(arguments[1]);
-    int calls = Integer.parseInt(arguments[2]);
+    double callsPerSecond = Double.parseDouble(arguments[1]);
+    int callCount = Integer.parseInt(arguments[2]);
     List<String> options = List.of(arguments).subList(3, arguments.length);
-    Path folder = options.contains("kept") ? Files.createTempDirectory("kept") : null;
-    try (Sockets sockets = new Sockets(2)) {
-      new Run(sockets, transport, rate, calls, options.contains("hold"), folder).play();
+    Path storeFolder = options.contains("kept") ? Files.createTempDirectory("kept") : null;
+    try (Sockets sockets = new Sockets(/* selectorThreads= */ 2)) {
+      new Run(sockets, transport, callsPerSecond, callCount, options.contains("hold"), storeFolder)
+          .measure();
     }
   }
 
-  /** One run. */
+  /** One measurement: a load generator, a controller and a switch, each on its own event loop. */
   static final class Run {
-    private final long origin = System.nanoTime();
-    private final EventLoop callerLoop = new EventLoop("caller", origin, QUEUE);
-    private final EventLoop controllerLoop = new EventLoop("controller", origin, QUEUE);
-    private final EventLoop switchLoop = new EventLoop("switch", origin, QUEUE);
+    private final long originNanos = System.nanoTime();
+    private final EventLoop callerLoop = new EventLoop("caller", originNanos, QUEUE_CAPACITY);
+    private final EventLoop controllerLoop =
+        new EventLoop("controller", originNanos, QUEUE_CAPACITY);
+    private final EventLoop switchLoop = new EventLoop("switch", originNanos, QUEUE_CAPACITY);
     private final Transport transport;
-    private final boolean hold;
-    private final double rate;
-    private final int calls;
-    private final TimedPolicy.Clock clock = new TimedPolicy.Clock();
+    private final boolean holdCalls;
+    private final double callsPerSecond;
+    private final int callCount;
+    private final TimedPolicy.Stopwatch policyStopwatch = new TimedPolicy.Stopwatch();
+
+    /** The store of the calls; null if they are not stored. */
     private final DiskStore store;
-    private final SipFront front;
-    private final EchoCaller caller;
 
-    Run(Sockets sockets, Transport transport, double rate, int calls, boolean hold, Path folder)
+    private final SipFront frontEnd;
+    private final OpenLoopCaller caller;
+
+    Run(
+        Sockets sockets,
+        Transport transport,
+        double callsPerSecond,
+        int callCount,
+        boolean holdCalls,
+        Path storeFolder)
         throws Exception {
       this.transport = transport;
-      this.hold = hold;
-      this.rate = rate;
-      this.calls = calls;
-      SocketNode switchNode = node(sockets, switchLoop);
-      SocketNode controllerNode = node(sockets, controllerLoop);
-      SocketNode callerNode = node(sockets, callerLoop);
-      store = folder == null ? null : new DiskStore(folder, controllerLoop::execute);
-      Hop own = new Hop(transport, "127.0.0.1", switchNode.port());
-      front =
+      this.holdCalls = holdCalls;
+      this.callsPerSecond = callsPerSecond;
+      this.callCount = callCount;
+      SocketNode switchNode = newNode(sockets, switchLoop);
+      SocketNode controllerNode = newNode(sockets, controllerLoop);
+      SocketNode callerNode = newNode(sockets, callerLoop);
+      store = storeFolder == null ? null : new DiskStore(storeFolder, controllerLoop::execute);
+      Hop switchAddress = new Hop(transport, "127.0.0.1", switchNode.port());
+      frontEnd =
           new SipFront(
               controllerNode,
-              settings(own),
-              rules(),
-              new AttemptGuard(300, 250),
+              frontSettings(switchAddress),
+              policySettings(),
+              new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 250),
               CallController.Observer.NONE,
-              actions -> new TimedPolicy(new NestedThresholdPolicy(rules(), 1, actions), clock),
-              store == null ? null : keeping());
+              actions ->
+                  new TimedPolicy(
+                      new NestedThresholdPolicy(policySettings(), 1, actions), policyStopwatch),
+              store == null ? null : persistence());
       caller =
-          new EchoCaller(
+          new OpenLoopCaller(
               callerNode,
               controllerNode.localHop(transport),
-              rate,
-              calls,
-              !hold,
-              (int) Math.min(calls / 2, 4 * rate));
-      switchNode.start(new EchoSwitch(switchNode, switchNode.port()));
-      controllerNode.start(front);
+              callsPerSecond,
+              callCount,
+              /* releaseOnAnswer= */ !holdCalls,
+              /* firstMeasuredCall= */ (int) Math.min(callCount / 2, 4 * callsPerSecond));
+      switchNode.start(new StatelessSwitch(switchNode, switchNode.port()));
+      controllerNode.start(frontEnd);
       callerNode.start(caller);
     }
 
-    /** A controller that keeps its calls, among neighbours at one place. */
-    static SipFront front(SocketNode node, Hop own, CallStore store, RecoveryRate.Budget budget) {
+    /**
+     * Creates a front end that stores its calls.
+     *
+     * @param switchAddress address of the local switch, which also serves the exchange directory
+     */
+    static SipFront persistentFrontEnd(
+        SocketNode node, Hop switchAddress, CallStore store, RecoveryRate.Budget recoveryBudget) {
       return new SipFront(
           node,
-          settings(own),
-          rules(),
-          new AttemptGuard(300, 250),
+          frontSettings(switchAddress),
+          policySettings(),
+          new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 250),
           CallController.Observer.NONE,
-          actions -> new NestedThresholdPolicy(rules(), 1, actions),
-          new SipFront.Persistence(store, budget, System::currentTimeMillis));
+          actions -> new NestedThresholdPolicy(policySettings(), 1, actions),
+          new SipFront.Persistence(store, recoveryBudget, System::currentTimeMillis));
     }
 
-    static SocketNode node(Sockets sockets, EventLoop loop) throws Exception {
-      return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", 0, 1);
+    /** Creates a node on a free port of the loopback address. */
+    static SocketNode newNode(Sockets sockets, EventLoop loop) throws Exception {
+      return new SocketNode(
+          sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", /* port= */ 0, /* seed= */ 1);
     }
 
-    private SipFront.Persistence keeping() {
-      RecoveryRate.Budget budget = new RecoveryRate.Budget(200, 2_000);
-      return new SipFront.Persistence(store, budget, System::currentTimeMillis);
+    private SipFront.Persistence persistence() {
+      RecoveryRate.Budget recoveryBudget =
+          new RecoveryRate.Budget(/* callsPerSecond= */ 200, /* verifyDelayMillis= */ 2_000);
+      return new SipFront.Persistence(store, recoveryBudget, System::currentTimeMillis);
     }
 
-    static FrontSettings settings(Hop own) {
+    static FrontSettings frontSettings(Hop switchAddress) {
       return new FrontSettings(
           "x0.example",
-          own,
-          own.withTransport(Transport.TCP),
-          new ClassTable(List.of("plain"), List.of("cove.0"), List.of(), 0),
-          30_000,
-          30,
-          2_000_000,
-          1,
+          switchAddress,
+          switchAddress.withTransport(Transport.TCP),
+          new ClassTable(
+              List.of("plain"),
+              List.of("cove.0"),
+              /* prefixes= */ List.of(),
+              /* defaultClass= */ 0),
+          /* patienceMillis= */ 30_000,
+          /* answerMarginMillis= */ 30,
+          /* maxCalls= */ 2_000_000,
+          /* retryAfterSeconds= */ 1,
           Timing.STANDARD,
-          new SipStack.Limits(128, 2_000_000));
+          new SipStack.Limits(/* maxHeaderLines= */ 128, /* maxServerTransactions= */ 2_000_000));
     }
 
-    static CallPolicy.Settings rules() {
-      CallClass plain = new CallClass(1, 0.2, 5_000, 30_000, 1, 60_000, List.of());
+    static CallPolicy.Settings policySettings() {
+      CallClass plainClass =
+          new CallClass(
+              /* worth= */ 1,
+              /* lateWorth= */ 0.2,
+              /* aim= */ 5_000,
+              /* giveUp= */ 30_000,
+              /* width= */ 1,
+              /* hold= */ 60_000,
+              /* pools= */ List.of());
       return new CallPolicy.Settings(
           Layout.MESH,
-          0,
-          2,
-          List.of(plain),
-          5,
-          6,
-          true,
-          false,
-          false,
-          2_000,
-          false,
-          300,
-          500,
-          0.3,
-          12_000,
-          3,
-          3_000);
+          /* localExchange= */ 0,
+          /* controllerCount= */ 2,
+          List.of(plainClass),
+          /* clockResolution= */ 5,
+          /* maxAttempts= */ 6,
+          /* mayCancel= */ true,
+          /* mayProbe= */ false,
+          /* mayBroadcast= */ false,
+          /* maxRetryAfter= */ 2_000,
+          /* directoryOnRequest= */ false,
+          /* guardTime= */ 300,
+          /* retransmitAfter= */ 500,
+          /* coldShare= */ 0.3,
+          /* rampTime= */ 12_000,
+          /* coldMultiple= */ 3,
+          /* coldWindow= */ 3_000);
     }
 
-    void play() throws Exception {
+    /** Runs the load and prints the results. */
+    void measure() throws Exception {
       switchLoop.start();
       controllerLoop.start();
       Thread.sleep(500);
-      long heapBefore = heap();
-      long allocatedBefore = allocated();
+      long heapBytesBefore = usedHeapBytes();
+      long allocatedBytesBefore = controllerAllocatedBytes();
       callerLoop.start();
-      double until = callerLoop.now() + 20_000 + 1_000 * calls / rate;
-      while (!caller.done() && callerLoop.now() < until) {
+      double deadlineMillis = callerLoop.now() + 20_000 + 1_000 * callCount / callsPerSecond;
+      while (!caller.isFinished() && callerLoop.now() < deadlineMillis) {
         Thread.sleep(20);
       }
-      long allocated = allocated() - allocatedBefore;
-      report(allocated, heapBefore);
+      long allocatedBytes = controllerAllocatedBytes() - allocatedBytesBefore;
+      report(allocatedBytes, heapBytesBefore);
       callerLoop.close();
       controllerLoop.close();
       switchLoop.close();
     }
 
-    private void report(long allocated, long heapBefore) throws InterruptedException {
-      int stood = caller.stood();
+    private void report(long allocatedBytes, long heapBytesBefore) throws InterruptedException {
+      int established = caller.establishedCalls();
       System.out.printf(
           Locale.ROOT,
           "%s%s%s: %d stood, %d refused, %.0f a second%n",
           transport,
-          hold ? " held" : "",
+          holdCalls ? " held" : "",
           store == null ? "" : " kept",
-          stood,
-          caller.refused(),
-          caller.rate());
+          established,
+          caller.refusedCalls(),
+          caller.establishedPerSecond());
       System.out.printf(
           Locale.ROOT,
           "  delay p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, most %.2f ms%n",
-          caller.delay().getValueAtPercentile(50) / 1000.0,
-          caller.delay().getValueAtPercentile(99) / 1000.0,
-          caller.delay().getValueAtPercentile(99.9) / 1000.0,
-          caller.delay().getMaxValue() / 1000.0);
+          caller.setupDelayMicros().getValueAtPercentile(50) / 1000.0,
+          caller.setupDelayMicros().getValueAtPercentile(99) / 1000.0,
+          caller.setupDelayMicros().getValueAtPercentile(99.9) / 1000.0,
+          caller.setupDelayMicros().getMaxValue() / 1000.0);
       System.out.printf(
           Locale.ROOT,
           "  controller's loop: %.0f bytes allocated a call, module %.1f us a call%n",
-          (double) allocated / stood,
-          clock.nanos() / 1000.0 / stood);
+          (double) allocatedBytes / established,
+          policyStopwatch.totalNanos() / 1000.0 / established);
       if (store != null) {
         System.out.printf(
             Locale.ROOT,
             "  %d commits, %d unkept %s%n",
             store.commitCount(),
-            front.writeAhead().unpersistedActions(),
+            frontEnd.writeAhead().unpersistedActions(),
             store.failureReason());
       }
-      if (hold) {
-        // Transactions last 64*T1; what is left then is what a standing call costs.
+      if (holdCalls) {
+        // Transactions end after 64*T1; what is in use then is the cost of the established calls.
         Thread.sleep(35_000);
         System.out.printf(
             Locale.ROOT,
             "  %d standing, heap %.0f bytes a call%n",
-            front.controller().callCount(),
-            (double) (heap() - heapBefore) / stood);
+            frontEnd.controller().callCount(),
+            (double) (usedHeapBytes() - heapBytesBefore) / established);
       }
     }
 
-    private static long heap() throws InterruptedException {
+    /** Heap in use after garbage collection, bytes. */
+    private static long usedHeapBytes() throws InterruptedException {
       for (int i = 0; i < 3; i++) {
         System.gc();
         Thread.sleep(200);
@@ -221,7 +258,8 @@
       return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    private static long allocated() {
+    /** Bytes allocated so far by the controller's event loop thread; 0 if it does not run. */
+    private static long controllerAllocatedBytes() {
       com.sun.management.ThreadMXBean threads =
           (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
       for (long id : threads.getAllThreadIds()) {
