--- a/bench/src/main/java/coveladder/bench/OpenLoopCaller.java
+++ b/bench/src/main/java/coveladder/bench/OpenLoopCaller.java
@@ -17,7 +17,7 @@
   /** Interval at which due calls are sent, ms. */
   private static final double TICK_MILLIS = 1;
 
-  /** Time over which the call rate rises to its full value, ms; the JIT compiler warms up in it. */
+  /** Time over which the call rate rises to its full value while the JIT warms up, ms. */
   private static final double RAMP_MILLIS = 6_000;
 
   private final SipHost host;
@@ -183,7 +183,7 @@
   @Override
   public void connectionFailed(Hop hop, Failure failure) {}
 
-  /** Whether all calls were sent and as many were established or refused. */
+  /** Whether all calls were sent and each was established or refused. */
   boolean isFinished() {
     return sentCalls == callCount && establishedCalls + refusedCalls >= callCount;
   }
--- a/bench/src/main/java/coveladder/bench/RestartBench.java
+++ b/bench/src/main/java/coveladder/bench/RestartBench.java
@@ -27,7 +27,7 @@
 public final class RestartBench {
   private static final int CALLS_PER_SYNC = 2_000;
 
-  /** The token in the template's identifiers; each stored call has its own token in its place. */
+  /** The token in the template's identifiers, replaced by a different one in each stored call. */
   private static final String TEMPLATE_TOKEN = "000000000000";
 
   private RestartBench() {}
--- a/bench/src/main/java/coveladder/bench/TimedPolicy.java
+++ b/bench/src/main/java/coveladder/bench/TimedPolicy.java
@@ -12,7 +12,7 @@
     this.stopwatch = stopwatch;
   }
 
-  /** The total time spent in a policy. The actions that it requests run meanwhile and count too. */
+  /** Sums the time spent in a policy, including its actions, which run inside its event methods. */
   static final class Stopwatch {
     private volatile long totalNanos;
 
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -96,7 +96,8 @@
               CallController.Observer.NONE,
               actions ->
                   new TimedPolicy(
-                      new NestedThresholdPolicy(policySettings(), 1, actions), policyStopwatch),
+                      new NestedThresholdPolicy(policySettings(), /* seed= */ 1, actions),
+                      policyStopwatch),
               store == null ? null : persistence());
       caller =
           new OpenLoopCaller(
@@ -124,7 +125,7 @@
           policySettings(),
           new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 250),
           CallController.Observer.NONE,
-          actions -> new NestedThresholdPolicy(policySettings(), 1, actions),
+          actions -> new NestedThresholdPolicy(policySettings(), /* seed= */ 1, actions),
           new SipFront.Persistence(store, recoveryBudget, System::currentTimeMillis));
     }
 
