--- a/policy/src/main/java/coveladder/CallPolicy.java
+++ b/policy/src/main/java/coveladder/CallPolicy.java
@@ -157,11 +157,12 @@
         double worth,
         double lateWorth,
         double aim,
-        double giveUp,
+        double callerTimeout,
         int width,
         double hold,
         List<Integer> pools) {
-      this(worth, lateWorth, aim, giveUp, width, hold, pools, Double.POSITIVE_INFINITY, true);
+      this(
+          worth, lateWorth, aim, callerTimeout, width, hold, pools, Double.POSITIVE_INFINITY, true);
     }
 
     /** Checks that the values are in range. */
@@ -234,6 +235,7 @@
       classes = List.copyOf(classes);
     }
 
+    /** Throws unless the value is usable; {@code setting} is the name that operators know it by. */
     private static void require(boolean usable, String setting, Object value) {
       if (!usable) {
         throw new IllegalArgumentException("unusable setting " + setting + "=" + value);
--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -43,36 +43,41 @@
    */
   private static final double DISCOUNT_FACTOR = 0.99;
 
-  /** Steps of the value iteration for one computation; Koole's nested thresholds take dozens. */
+  /**
+   * Steps of the value iteration in one computation of the thresholds; Koole's method needs dozens.
+   */
   private static final int VALUE_ITERATIONS = 60;
 
   /**
-   * Weight, in calls, of the class mix of all destinations beside the calls counted for one circuit
-   * group.
+   * Weight of the class mix of all destinations, as a number of calls that is added to the calls
+   * counted for one circuit group.
    */
   private static final double CLASS_MIX_WEIGHT_CALLS = 20;
 
-  /** Share of the class mix that each computation retains; a memory of about one minute. */
+  /**
+   * Share of the class mix and of the sums over recent calls that each computation retains; a
+   * memory of about one minute.
+   */
   private static final double CLASS_MIX_RETENTION = 0.97;
 
   /** Circuits that alternative calls always leave free in a group, per square root of its size. */
   private static final double RESERVE_PER_ROOT_OF_SIZE = 0.3;
 
   /**
-   * Share of the group that alternative calls leave free in addition when all direct calls are
-   * blocked; proportionally less when fewer are.
+   * Share of the circuits of a group that alternative calls leave free in addition, multiplied by
+   * the share of direct calls that are blocked.
    */
   private static final double RESERVE_SHARE_PER_BLOCKED_SHARE = 0.5;
 
   /**
-   * Share of the counts of blocked, overflowed and tandem calls that each computation retains; a
-   * memory of about the arrival window.
+   * Share of the counts of direct, blocked, overflowed and tandem calls that each computation
+   * retains; a memory of about the arrival window.
    */
   private static final double COUNTER_RETENTION = 0.8;
 
   /**
    * Calls that are assumed to have been carried by a tandem in addition to those counted, so that a
-   * group with little traffic starts with alternative routes open.
+   * group with little traffic starts open to all classes.
    */
   private static final double PRIOR_SUCCESSFUL_CALLS = 2;
 
@@ -103,8 +108,8 @@
   private static final double INITIAL_OUTSTANDING_LIMIT = 4;
 
   /**
-   * Highest limit of the set-ups outstanding toward one exchange; a warm processor answers as many
-   * within an aim.
+   * Highest limit of the set-ups outstanding toward one exchange; a warm processor answers that
+   * many within an aim.
    */
   private static final double MAX_OUTSTANDING_LIMIT = 16;
 
@@ -136,14 +141,14 @@
   private static final double MIN_TIME_TO_AIM_MILLIS = 50;
 
   /**
-   * Share of its aim that a call must have left to be the trial call of an exchange whose state is
-   * unknown.
+   * Share of its aim that suffices for a call to be the trial call of an exchange, however slowly
+   * the exchange answered so far.
    */
   private static final double TRIAL_AIM_SHARE = 0.7;
 
   /**
    * Longest interval between trial calls to an exchange, ms; four mean intervals between the local
-   * calls to it where that is shorter.
+   * calls to it if that is shorter.
    */
   private static final double MAX_TRIAL_INTERVAL_MILLIS = 8000;
 
@@ -164,7 +169,10 @@
 
   // ---- State --------------------------------------------------------------------------------
 
-  /** Label of the timer of the next computation; labels of call timers follow these two. */
+  /**
+   * Label of the timer of the next threshold computation; call timers have labels above {@code
+   * HEARTBEAT_TIMER}.
+   */
   private static final long RECOMPUTE_TIMER = 0;
 
   /** Label of the timer of the next heartbeat. */
@@ -231,6 +239,7 @@
   /** Attempts without an answer, toward all exchanges. */
   private int outstandingAttempts;
 
+  /** Present limit of the set-ups outstanding toward all exchanges together. */
   private double totalOutstandingLimit = MAX_TOTAL_OUTSTANDING_LIMIT / 3;
 
   /** Upper bound of the random pause between set-ups while the local processor is overloaded. */
@@ -256,6 +265,7 @@
   /** Number of waiting calls examined so far. */
   long waitingCallsExamined;
 
+  /** End of the pause between set-ups while the local processor is overloaded or down. */
   private double localPausedUntil;
 
   /**
@@ -439,8 +449,10 @@
   }
 
   /**
-   * Returns the time to the aim of a new call. Time lost in a stall is deducted; a call that can no
-   * longer reach its aim is classed as late, as redials are.
+   * Returns the time to the aim of a new call. The time that the call lay unread in a stall is
+   * deducted: the difference between its patience and the longest patience seen in its class, at
+   * most the length of the stall. A call that can no longer reach its aim is classed as late, as
+   * redials are.
    */
   private double timeToAim(TrackedCall call) {
     double aim = call.callClass.aim();
@@ -552,12 +564,12 @@
   }
 
   /**
-   * Whether a set-up is worth the work that it causes: its chance of success, times the value of
-   * the call relative to the mean of recent calls, must reach the present answer time relative to
-   * the time of a slow answer. This prevents crankbacks and congestion, whatever fills groups or
-   * slows processors; while processors are idle and answer fast, nearly every set-up is worthwhile.
-   * Just after circuits or processors have come free, calls are still held back until the counts
-   * decay.
+   * Whether a set-up is worth the work that it causes: its chance of success, multiplied by the
+   * ratio of its value to the mean worth of recent calls, must be at least the ratio of the present
+   * answer time to that of a slow answer. This prevents crankbacks and congestion, whatever fills
+   * groups or slows processors; idle processors answer fast, which makes nearly every set-up
+   * worthwhile. Just after circuits or processors have come free, calls are still held back until
+   * the counts decay.
    */
   private boolean isWorthSetup(TrackedCall call, double chance) {
     return chance * call.value() * recentCalls >= recentWorth * meanAnswerTime / slowAnswerTime;
@@ -616,10 +628,10 @@
 
   private void recomputeEstimates(double now) {
     localArrivals.removeIf(arrivedAt -> arrivedAt < now - ARRIVAL_WINDOW_MILLIS);
-    double span =
+    double countedMillis =
         Math.min(ARRIVAL_WINDOW_MILLIS, Math.max(RECOMPUTE_INTERVAL_MILLIS, now - startedAt));
-    localCallRate = localArrivals.size() / span;
-    remoteExchanges.values().forEach(remote -> remote.recomputeThresholds(now, span));
+    localCallRate = localArrivals.size() / countedMillis;
+    remoteExchanges.values().forEach(remote -> remote.recomputeThresholds(now, countedMillis));
     recentWorth *= CLASS_MIX_RETENTION;
     recentCalls *= CLASS_MIX_RETENTION;
     for (int classIndex = 0; classIndex < classMix.length; classIndex++) {
@@ -754,11 +766,11 @@
   }
 
   /**
-   * Sends waiting calls, most valuable first. Once the local processor accepts no call it accepts
-   * none of the less valuable ones behind it, and the search ends; only heartbeats and directory
-   * updates examine the whole queue, to refuse unroutable calls. The work of an event therefore
-   * does not grow with the queue, whatever filled it. An unroutable call may wait for one heartbeat
-   * longer.
+   * Sends waiting calls, most valuable first. If the local processor does not accept a call, it
+   * accepts none of the less valuable ones behind it, and the search ends; only heartbeats and
+   * directory updates examine the whole queue, to refuse unroutable calls. The work of an event
+   * therefore does not grow with the queue, whatever filled it. An unroutable call may wait for one
+   * heartbeat longer.
    *
    * @param wholeQueue whether to examine the whole queue
    */
@@ -836,7 +848,7 @@
   }
 
   /**
-   * Records an answer, prompt or slow, that ends the attempt's time as outstanding. Its time
+   * Records an answer, prompt or slow: the attempt is no longer outstanding. The answer time
    * updates the limits of the local processor and of the exchanges that answered; a call that its
    * tandem turned back says nothing about the destination, which never received it.
    */
@@ -885,7 +897,10 @@
     return localOverload;
   }
 
-  /** Updates the estimates of the exchanges from the end of an attempt that was not established. */
+  /**
+   * Updates the estimates of the exchanges from the end of an attempt whose call was not
+   * established.
+   */
   private void assessOutcome(double now, Attempt attempt, AttemptEnded ended) {
     double elapsed = Math.max(0, ended.elapsed() - stallDuration);
     switch (ended.outcome()) {
@@ -976,9 +991,10 @@
   // ---- Congested numbers --------------------------------------------------------------------
 
   /**
-   * Whether calls to this number are refused for now. After each pause one call tries the number.
-   * This protects against a number, or a wait queue behind it, that is busy again and again. If one
-   * of its lines comes free within the pause, callers are refused although they could be connected.
+   * Whether calls to this number are refused for now. The first call after a pause tries the number
+   * and starts the next pause. This protects against a number, or a line behind it, that is busy
+   * again and again. If one of its lines comes free within the pause, callers are refused although
+   * they could be connected.
    */
   private boolean isCongested(double now, String number) {
     Double until = congestedNumbers.get(number);
@@ -994,7 +1010,8 @@
   }
 
   /**
-   * Updates the reported circuits; returns whether more are free, so that a waiting call may go.
+   * Updates the reported circuits; returns whether more are free, so that a waiting call may be
+   * sent.
    */
   private boolean updateCircuits(String exchangeId, Load load) {
     Exchange entry = directory.get(exchangeId);
@@ -1027,41 +1044,55 @@
     /** First hops that carried a call here and have not turned one back since. */
     final LinkedHashSet<RemoteExchange> workingTandems = new LinkedHashSet<>();
 
-    /** As a tandem: until when it is not used, by the number of the destination. */
+    /** Time until which this exchange is not used as a tandem, by the number of the destination. */
     final Map<Integer, Double> crankbackUntil = new TreeMap<>();
 
     /** The directory entry in service that started last; null if there is none. */
     Exchange currentEntry;
 
+    /** Free circuits of the group: the last report less those seized since; NaN before a report. */
     double freeCircuits = Double.NaN;
+
+    /** Circuits of the group; 0: there is no group; NaN: not reported yet. */
     double groupSize = Double.NaN;
 
     /** Circuits seized by direct calls of this controller. */
     int localBusyCircuits;
 
     int[] thresholds;
+
+    /** Decaying number of direct calls offered. */
     double directCalls;
+
+    /** Decaying number of direct calls that the group did not admit. */
     double blockedCalls;
 
     /** Arrival rate of the calls of the other users of the circuit group. */
     double otherUsersRate;
 
+    /** Decaying number of direct calls that found the group full and sought a tandem. */
     double overflowedCalls;
+
+    /** Decaying number of overflowed calls that were established. */
     double carriedOverflowCalls;
+
     double outstandingLimit = INITIAL_OUTSTANDING_LIMIT;
 
     /** Smoothed answer time. */
     double answerDelay;
 
+    /** Time of the last reduction of {@code outstandingLimit}. */
     double limitReducedAt;
+
     double pausedUntil;
 
     /** Upper bound of the random pause before the next trial call. */
     double trialInterval;
 
     /**
-     * Random share of the cold-start window that passes before the first set-up, so that
-     * controllers do not all send together.
+     * Random share of the extended cold-start window that passes before the first set-up, if this
+     * controller may send less than one set-up per window; otherwise all controllers could send
+     * together.
      */
     final double coldStartPhase = random.nextDouble();
 
@@ -1072,6 +1103,7 @@
       this.number = number;
     }
 
+    /** Whether there is a direct group to this exchange; one of unknown size counts. */
     boolean hasCircuitGroup() {
       return number != settings.localExchange() && !(groupSize <= 0);
     }
@@ -1115,20 +1147,21 @@
       }
     }
 
-    void recomputeThresholds(double now, double span) {
+    void recomputeThresholds(double now, double countedMillis) {
       arrivals.removeIf(arrival -> arrival[0] < now - ARRIVAL_WINDOW_MILLIS);
       directCalls *= COUNTER_RETENTION;
       blockedCalls *= COUNTER_RETENTION;
       overflowedCalls *= COUNTER_RETENTION;
       carriedOverflowCalls *= COUNTER_RETENTION;
-      thresholds = arrivals.isEmpty() || !(groupSize >= 1) ? null : computeThresholds(span);
+      thresholds =
+          arrivals.isEmpty() || !(groupSize >= 1) ? null : computeThresholds(countedMillis);
     }
 
     /**
      * Computes the thresholds from the local arrivals of each class and the arrivals of the other
      * users of the group, which are estimated from its busy circuits.
      */
-    private int[] computeThresholds(double span) {
+    private int[] computeThresholds(double countedMillis) {
       double mixTotal = Arrays.stream(classMix).sum();
       double[] rates = new double[2 * classMix.length];
       double[] costs = new double[2 * classMix.length];
@@ -1154,14 +1187,14 @@
                   - otherUsersRate)
               / 2;
       for (int classIndex = 0; classIndex < classMix.length; classIndex++) {
-        rates[classIndex] *= arrivals.size() / span + otherUsersRate;
+        rates[classIndex] *= arrivals.size() / countedMillis + otherUsersRate;
       }
       return NestedThresholdPolicy.thresholds((int) groupSize, rates, meanHold, costs);
     }
 
     /**
-     * Returns the cost of blocking a call: the lowest worth, plus the rest of its worth to the
-     * extent that overflowed calls are not carried by a tandem.
+     * Returns the cost of blocking a call: the lowest worth of all classes, plus the excess of its
+     * worth over that, multiplied by the share of overflowed calls that no tandem carried.
      */
     private double blockingCost(double worth) {
       double rescuedShare =
@@ -1175,8 +1208,8 @@
     /**
      * Whether one more set-up may be sent: the limit is not reached, and a timely answer is
      * expected. This prevents attempts that only waste work, whether the exchange is silent, slow,
-     * overloaded or cold. An exchange that recovered unnoticed is used again after its next trial
-     * call.
+     * overloaded or cold. An exchange that recovered unnoticed is used again only after its next
+     * trial call.
      */
     boolean accepts(double now, TrackedCall call) {
       double timeLeft = call.aimDeadline - now;
@@ -1214,10 +1247,10 @@
     }
 
     /**
-     * Reduces the limit, once for all set-ups that were outstanding together. Below one, trial
-     * calls are spread in time, further apart after each failure; this protects an exchange in
-     * trouble, for whatever reason, from the sum of the trial calls of many controllers. Calls to
-     * an exchange that has just recovered wait for the next trial call.
+     * Reduces the limit, once for all set-ups that were outstanding together. If less than one
+     * set-up would be permitted, trial calls are spread in time, further apart after each failure;
+     * this protects an exchange in trouble, for whatever reason, from the sum of the trial calls of
+     * many controllers. Calls to an exchange that has just recovered wait for the next trial call.
      */
     private void reduceLimit(double now, double elapsed, double newLimit) {
       if (now - elapsed >= limitReducedAt) {
@@ -1244,8 +1277,9 @@
     }
 
     /**
-     * Records that the processor is overloaded. The trial interval is half an aim at first, then
-     * the interval between local calls, as many controllers may be sending.
+     * Records that the processor is overloaded. The trial interval is the time of a slow answer at
+     * first, at most half the shortest aim; then it follows the intervals between the local calls
+     * to the exchange, as many controllers may be sending.
      */
     void recordOverload(double now, double requestedWait) {
       outstandingLimit = 1;
@@ -1258,27 +1292,30 @@
     }
 
     /**
-     * Whether a set-up is within this controller's share of what a cold processor can bear. A share
-     * below one set-up per window allows one set-up in a window extended accordingly.
+     * Whether a set-up is within this controller's share of what a cold processor can bear, in
+     * set-ups per cold-start window. A share below one allows one set-up in a window extended
+     * accordingly.
      */
     boolean withinColdStartBudget(double now) {
-      double capacity =
+      double coldSetupsPerWindow =
           SETUPS_PER_LOCAL_CALL * localCallRate * settings.coldShare() * settings.coldWindow();
-      double share = settings.coldMultiple() * capacity / settings.controllerCount();
-      double window = settings.coldWindow() / Math.min(1, share);
+      double setupsPerWindow =
+          settings.coldMultiple() * coldSetupsPerWindow / settings.controllerCount();
+      double window = settings.coldWindow() / Math.min(1, setupsPerWindow);
       while (!sendTimes.isEmpty() && sendTimes.peek() < now - window) {
         sendTimes.poll();
       }
       boolean cold =
           currentEntry.startedAt() > 0 && now < currentEntry.startedAt() + settings.rampTime();
-      boolean phaseReached = share >= 1 || now >= startLearnedAt + coldStartPhase * window;
-      return !cold || phaseReached && sendTimes.size() + 1 <= Math.max(1, share);
+      boolean phaseReached =
+          setupsPerWindow >= 1 || now >= startLearnedAt + coldStartPhase * window;
+      return !cold || phaseReached && sendTimes.size() + 1 <= Math.max(1, setupsPerWindow);
     }
   }
 
   // ---- Calls and attempts -------------------------------------------------------------------
 
-  /** A call that is due a final answer, or that is established. */
+  /** A call that still needs its final answer, or that is established. */
   private static final class TrackedCall implements Comparable<TrackedCall> {
     final Call request;
     final CallClass callClass;
@@ -1293,7 +1330,10 @@
     /** The first attempt that may have taken effect although it failed; null if there is none. */
     Attempt uncertainAttempt;
 
-    /** Whether the call only earns the worth of a late call, such as a redial. */
+    /**
+     * Whether the call earns only its late worth: a redial, or a call that can no longer reach its
+     * aim.
+     */
     boolean late;
 
     boolean established;
@@ -1302,16 +1342,17 @@
     boolean overflowed;
 
     /**
-     * What the call earns if it is established soon; a late call, such as a redial, usually misses
-     * its aim.
+     * Returns what the call earns if it is established soon; a redial usually misses its aim, so it
+     * counts with its late worth.
      */
     double value() {
       return callClass.worth() * (late ? callClass.lateWorth() : 1);
     }
 
     /**
-     * Whether the call may be sent to this exchange after an attempt that may have taken effect, so
-     * that no call is made twice; null asks for any exchange.
+     * Whether the call may be sent to this exchange, or, if it is null, to any exchange at all.
+     * After an attempt that may have taken effect this is restricted, so that no call is made
+     * twice.
      */
     boolean mayRepeatAt(double now, RemoteExchange exchange) {
       boolean permittedExchange =
@@ -1332,8 +1373,8 @@
 
     @Override
     public int compareTo(TrackedCall other) {
-      int byWorth = Double.compare(other.value(), value());
-      return byWorth != 0 ? byWorth : Long.compare(arrivalOrder, other.arrivalOrder);
+      int byValue = Double.compare(other.value(), value());
+      return byValue != 0 ? byValue : Long.compare(arrivalOrder, other.arrivalOrder);
     }
   }
 
--- a/policy/src/test/java/coveladder/ColdFleetTest.java
+++ b/policy/src/test/java/coveladder/ColdFleetTest.java
@@ -16,10 +16,11 @@
 
 /**
  * Guards against overload of a processor that has just started: all controllers together must stay
- * within the budget of each window, but for chance, although each knows only its own calls.
+ * within the budget of each window, apart from random variation, although each knows only its own
+ * calls.
  */
 class ColdFleetTest {
-  /** Number of seeds for each variant: no controller restarts, or some of them do. */
+  /** Number of seeds for each of the two variants: without and with restarts of controllers. */
   private static final int SEEDS = 5;
 
   private static final double WARM_UP_MILLIS = 10_500;
@@ -155,6 +156,7 @@
       double coldWindow) {
     settings = settings(controllerCount, coldShare, coldMultiple, coldWindow);
     meanCallsPerSecond = callsPerSecond;
+    // Warm capacity in set-ups per second: two set-ups per call, divided by the utilization.
     double budget =
         coldMultiple * coldShare * 2 * callsPerSecond / WARM_UTILIZATION * coldWindow / 1000;
     // Margin for chance: two standard deviations of a Poisson count, and two set-ups.
--- a/policy/src/test/java/coveladder/PolicyFixture.java
+++ b/policy/src/test/java/coveladder/PolicyFixture.java
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Returns a mesh of four exchanges; 0 is the local one, and the group toward each other one has
-   * 20 circuits, all free.
+   * Returns a mesh of four exchanges: 0 is local, and each of the groups toward the three others
+   * has 20 circuits, all free.
    */
   static PolicyFixture mesh() {
     return mesh(7);
--- a/policy/src/test/java/coveladder/PolicyModuleTest.java
+++ b/policy/src/test/java/coveladder/PolicyModuleTest.java
@@ -54,7 +54,7 @@
         references.scan(unit, null);
       }
       assertEquals(List.of(), errors(diagnostics));
-      assertEquals(List.of(), references.foreign);
+      assertEquals(List.of(), references.foreignReferences);
       assertTrue(references.imports > 0, "no import was looked at");
       assertTrue(references.resolved > 0, "no reference was looked at");
     }
@@ -124,7 +124,7 @@
 
   /** Collects the imports and names that lead outside java.* and the package coveladder. */
   private static final class References extends TreePathScanner<Void, Void> {
-    final List<String> foreign = new ArrayList<>();
+    final List<String> foreignReferences = new ArrayList<>();
     int imports;
     int resolved;
     private final Trees trees;
@@ -138,7 +138,7 @@
       imports++;
       String name = tree.getQualifiedIdentifier().toString();
       if (!name.startsWith("java.") && !name.matches("coveladder\\.[A-Z].*")) {
-        foreign.add("import " + name);
+        foreignReferences.add("import " + name);
       }
       return super.visitImport(tree, unused);
     }
@@ -156,18 +156,20 @@
     }
 
     private void check(String reference) {
-      PackageElement home = packageOf(trees.getElement(getCurrentPath()));
-      if (home == null || home.getQualifiedName().isEmpty()) {
+      PackageElement owningPackage = packageOf(trees.getElement(getCurrentPath()));
+      if (owningPackage == null || owningPackage.getQualifiedName().isEmpty()) {
         return;
       }
       resolved++;
-      String name = home.getQualifiedName().toString();
+      String name = owningPackage.getQualifiedName().toString();
       if (!(name + ".").startsWith("java.") && !name.equals("coveladder")) {
-        foreign.add(reference + " of package " + name);
+        foreignReferences.add(reference + " of package " + name);
       }
     }
 
-    /** The package of an element; null or without a name for the length of an array. */
+    /**
+     * Returns the package of an element; null or unnamed for the field {@code length} of an array.
+     */
     private static PackageElement packageOf(Element element) {
       Element enclosing = element;
       while (enclosing != null && !(enclosing instanceof PackageElement)) {
--- a/policy/src/test/java/coveladder/PolicyTest.java
+++ b/policy/src/test/java/coveladder/PolicyTest.java
@@ -196,7 +196,7 @@
     return 20 - free + width;
   }
 
-  /** Guards against admitting a redial that seizes several circuits as if it were one circuit. */
+  /** Guards against admitting a redial that seizes several circuits as if it seized only one. */
   @Test
   void wideRedialsAreAdmittedUpToNoHigherOccupancyThanNarrowOnes() {
     Settings base = PolicyFixture.settings(Layout.MESH, 0);
@@ -264,7 +264,7 @@
   }
 
   @Test
-  void whileAnswersAreSlowOnlyLowWorthCallsAreSentOneAtATime() {
+  void whileAnswersAreSlowLowWorthCallsAreSentOneAtATimeAndHighWorthCallsAsBefore() {
     for (int i = 0; i < 6; i++) {
       fixture.offerCall("s" + i, LOW_WORTH, 1 + i % 2);
       fixture.advanceClock(700);
@@ -596,8 +596,8 @@
   }
 
   /**
-   * Guards against serving calls whose aim passed while they lay unread in a stall before calls
-   * that can still reach theirs. Among the latter the most valuable go first.
+   * Guards against a wrong order of service after a stall: calls that can still reach their aim go
+   * first, the most valuable ahead, and calls whose aim passed while they lay unread go last.
    */
   @Test
   void callsWhoseAimPassedDuringAStallAreServedLast() {
--- a/policy/src/test/java/coveladder/RepeatTest.java
+++ b/policy/src/test/java/coveladder/RepeatTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aKeyedCallIsResentWithinItsRepeatWindowToTheSameExchange() {
+  void aCallIsResentOnlyWithinItsRepeatWindowAndToTheSameExchange() {
     startCall(1000, false);
     fixture.advanceClock(100);
     fixture.endAttempt("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void aSafeCallIsResent() {
+  void aCallThatIsSafeToRepeatIsResent() {
     startCall(Double.POSITIVE_INFINITY, true);
     fixture.endAttempt("a", 0, 1, Outcome.RESET, Reason.NONE, 100);
     fixture.advanceClock(800);
