--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -65,50 +65,50 @@
 
   @Override
   public Integer call() throws Exception {
-    SipUri place = SipUri.parse("sip:" + via);
-    if (SipUri.parse(uri) == null || place == null || patience < 1 || hold < 0) {
+    SipUri controllerUri = SipUri.parse("sip:" + via);
+    if (SipUri.parse(uri) == null || controllerUri == null || patience < 1 || hold < 0) {
       spec.commandLine().getErr().println("URI is sip:number@domain, --via HOST:PORT");
       return 2;
     }
-    Hop controller = place.hop().withTransport(tcp ? Transport.TCP : Transport.UDP);
+    Hop controller = controllerUri.hop().withTransport(tcp ? Transport.TCP : Transport.UDP);
     CountDownLatch done = new CountDownLatch(1);
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("call", System.nanoTime(), 1_000);
         SocketNode node =
             new SocketNode(
                 sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", 0, System.nanoTime())) {
-      OneCall call = new OneCall(node, controller, done);
+      TestCall call = new TestCall(node, controller, done);
       loop.start();
       node.start(call);
       boolean ended = done.await(patience + hold + 3L, TimeUnit.SECONDS);
-      return ended && call.stood ? 0 : 1;
+      return ended && call.established ? 0 : 1;
     }
   }
 
   /** The caller. */
-  private final class OneCall extends AbstractSipNode implements CallListener {
+  private final class TestCall extends AbstractSipNode implements CallListener {
     private final SipHost host;
     private final Hop controller;
     private final CountDownLatch done;
     private final PrintWriter out = spec.commandLine().getOut();
-    private volatile boolean stood;
-    private double begun;
+    private volatile boolean established;
+    private double startMillis;
 
-    OneCall(SipHost host, Hop controller, CountDownLatch done) {
+    TestCall(SipHost host, Hop controller, CountDownLatch done) {
       super(host, Timing.STANDARD, new SipStack.Limits(128, 100));
       this.host = host;
       this.controller = controller;
       this.done = done;
     }
 
-    private void print(String what) {
-      out.printf(Locale.ROOT, "%8.1f ms  %s%n", host.now() - begun, what);
+    private void print(String event) {
+      out.printf(Locale.ROOT, "%8.1f ms  %s%n", host.now() - startMillis, event);
       out.flush();
     }
 
     @Override
     public void start() {
-      begun = host.now();
+      startMillis = host.now();
       SipRequest invite = new SipRequest("INVITE", uri);
       invite.add("From", "<sip:call@" + host.localHop(controller.transport()).host() + '>');
       invite.add("To", '<' + uri + '>');
@@ -121,10 +121,10 @@
       invite.body("application/sdp", SDP);
       print("INVITE " + uri + " to " + controller);
       CallLeg leg = userAgent().call(invite, controller, this);
-      host.schedule(1000.0 * patience, () -> giveUp(leg));
+      host.schedule(1000.0 * patience, () -> abandon(leg));
     }
 
-    private void giveUp(CallLeg leg) {
+    private void abandon(CallLeg leg) {
       if (leg.isOutstanding()) {
         print("patience is over: CANCEL");
         leg.cancel(null);
@@ -146,7 +146,7 @@
 
     @Override
     public void answered(CallLeg leg, SipResponse response) {
-      stood = true;
+      established = true;
       leg.ack(null);
       host.schedule(1000.0 * hold, () -> hangUp(leg));
     }
--- a/app/src/main/java/coveladder/app/CallLog.java
+++ b/app/src/main/java/coveladder/app/CallLog.java
@@ -21,45 +21,45 @@
 final class CallLog implements CallController.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("coveladder.calls");
 
-  private final MeterRegistry meters;
-  private final List<String> classes;
+  private final MeterRegistry meterRegistry;
+  private final List<String> classNames;
 
   CallLog(MeterRegistry meters, List<String> classes) {
-    this.meters = meters;
-    this.classes = classes;
+    this.meterRegistry = meters;
+    this.classNames = classes;
   }
 
-  private String type(TrackedCall call) {
-    return classes.get(call.call().type());
+  private String className(TrackedCall call) {
+    return classNames.get(call.call().type());
   }
 
   @Override
   public void callAccepted(TrackedCall call) {
-    meters.counter("coveladder.calls", "class", type(call)).increment();
+    meterRegistry.counter("coveladder.calls", "class", className(call)).increment();
     LOG.debug(
         "call taken",
         kv("call", call.call().id()),
-        kv("class", type(call)),
+        kv("class", className(call)),
         kv("destination", call.call().destination()),
         kv("transit", call.call().transit()));
   }
 
   @Override
-  public void attemptSent(TrackedCall call, AttemptRequest order) {
-    meters.counter("coveladder.attempts", "class", type(call)).increment();
+  public void attemptSent(TrackedCall call, AttemptRequest request) {
+    meterRegistry.counter("coveladder.attempts", "class", className(call)).increment();
     LOG.debug(
         "attempt sent",
-        kv("call", order.call()),
-        kv("attempt", order.attempt()),
-        kv("exchange", order.nextExchange().id()),
-        kv("tandem", order.viaTandem()),
-        kv("within", Math.round(order.timeoutMillis())));
+        kv("call", request.call()),
+        kv("attempt", request.attempt()),
+        kv("exchange", request.nextExchange().id()),
+        kv("tandem", request.viaTandem()),
+        kv("within", Math.round(request.timeoutMillis())));
   }
 
   @Override
   public void attemptEnded(
-      TrackedCall call, int attempt, Outcome outcome, Reason reason, double spent) {
-    meters
+      TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsedMillis) {
+    meterRegistry
         .counter("coveladder.attempts.over", "outcome", outcome.name(), "reason", reason.name())
         .increment();
     LOG.debug(
@@ -68,29 +68,29 @@
         kv("attempt", attempt),
         kv("outcome", outcome),
         kv("reason", reason),
-        kv("spent", Math.round(spent)));
+        kv("spent", Math.round(elapsedMillis)));
   }
 
   @Override
-  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double after) {
+  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsedMillis) {
     String kind = answer.kind().name();
-    meters.counter("coveladder.answers", "class", type(call), "kind", kind).increment();
-    meters
-        .timer("coveladder.answer.time", "class", type(call), "kind", kind)
-        .record(Duration.ofNanos((long) (after * 1e6)));
+    meterRegistry.counter("coveladder.answers", "class", className(call), "kind", kind).increment();
+    meterRegistry
+        .timer("coveladder.answer.time", "class", className(call), "kind", kind)
+        .record(Duration.ofNanos((long) (elapsedMillis * 1e6)));
     LOG.info(
         "call answered",
         kv("call", call.call().id()),
-        kv("class", type(call)),
+        kv("class", className(call)),
         kv("answer", kind),
         kv("reason", answer.reason()),
         kv("attempts", call.attemptCount()),
-        kv("after", Math.round(after)));
+        kv("after", Math.round(elapsedMillis)));
   }
 
   @Override
-  public void callerAbandoned(TrackedCall call, double after) {
-    meters.counter("coveladder.callers.left", "class", type(call)).increment();
-    LOG.info("caller left", kv("call", call.call().id()), kv("after", Math.round(after)));
+  public void callerAbandoned(TrackedCall call, double elapsedMillis) {
+    meterRegistry.counter("coveladder.callers.left", "class", className(call)).increment();
+    LOG.info("caller left", kv("call", call.call().id()), kv("after", Math.round(elapsedMillis)));
   }
 }
--- a/app/src/main/java/coveladder/app/CheckCommand.java
+++ b/app/src/main/java/coveladder/app/CheckCommand.java
@@ -22,7 +22,7 @@
         .getOut()
         .printf(
             "%s: usable; exchange %d of domain %s, %d classes%n",
-            file, settings.number(), settings.domain(), settings.classes().size());
+            file, settings.exchangeNumber(), settings.domain(), settings.classes().size());
     return 0;
   }
 }
--- a/app/src/main/java/coveladder/app/ControlSocket.java
+++ b/app/src/main/java/coveladder/app/ControlSocket.java
@@ -28,86 +28,89 @@
  */
 final class ControlSocket implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControlSocket.class);
-  private static final int LONGEST = 100;
-  private static final int LINE = 4_096;
-  private static final int AT_A_TIME = 4;
-  private static final long LASTS = 60;
+  private static final int MAX_PATH_LENGTH = 100;
+  private static final int READ_BUFFER_CHARS = 4_096;
+  private static final int MAX_CONNECTIONS = 4;
+  private static final long CONNECTION_TIMEOUT_SECONDS = 60;
 
-  private final Path place;
+  private final Path socketPath;
   private final ServerSocketChannel server;
-  private final Map<String, Order> orders = new ConcurrentHashMap<>();
-  private final ScheduledExecutorService pool = Executors.newScheduledThreadPool(AT_A_TIME + 1);
+  private final Map<String, CommandHandler> handlers = new ConcurrentHashMap<>();
+  private final ScheduledExecutorService executor =
+      Executors.newScheduledThreadPool(MAX_CONNECTIONS + 1);
   private volatile boolean open = true;
 
   /** Carries out one order and prints what comes of it. */
-  interface Order {
+  interface CommandHandler {
     /** Does it. */
     void carryOut(PrintWriter answers) throws InterruptedException;
   }
 
   /** Listens in a folder, which this process has to itself. */
   ControlSocket(Path folder) throws IOException {
-    place = place(folder);
-    Files.deleteIfExists(place);
+    socketPath = socketPath(folder);
+    Files.deleteIfExists(socketPath);
     server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-    server.bind(UnixDomainSocketAddress.of(place), AT_A_TIME);
-    Files.setPosixFilePermissions(place, PosixFilePermissions.fromString("rw-------"));
+    server.bind(UnixDomainSocketAddress.of(socketPath), MAX_CONNECTIONS);
+    Files.setPosixFilePermissions(socketPath, PosixFilePermissions.fromString("rw-------"));
     Thread thread = new Thread(this::accept, "control");
     thread.setDaemon(true);
     thread.start();
   }
 
-  static Path place(Path folder) throws IOException {
-    Path place = folder.toAbsolutePath().resolve("control");
-    if (place.toString().length() > LONGEST) {
+  static Path socketPath(Path folder) throws IOException {
+    Path path = folder.toAbsolutePath().resolve("control");
+    if (path.toString().length() > MAX_PATH_LENGTH) {
       throw new IOException(
           "state folder " + folder + " has a name too long for its control socket");
     }
-    return place;
+    return path;
   }
 
   /** Names what carries out an order. */
-  void serve(String name, Order order) {
-    orders.put(name, order);
+  void serve(String name, CommandHandler handler) {
+    handlers.put(name, handler);
   }
 
   private void accept() {
     while (open) {
       try {
-        SocketChannel caller = server.accept();
-        ScheduledFuture<?> bound = pool.schedule(() -> close(caller), LASTS, TimeUnit.SECONDS);
-        pool.execute(() -> serve(caller, bound));
+        SocketChannel client = server.accept();
+        ScheduledFuture<?> timeout =
+            executor.schedule(() -> close(client), CONNECTION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        executor.execute(() -> serve(client, timeout));
       } catch (IOException e) {
         open = false;
       }
     }
   }
 
-  private void serve(SocketChannel caller, ScheduledFuture<?> bound) {
-    try (caller;
+  private void serve(SocketChannel client, ScheduledFuture<?> timeout) {
+    try (client;
         BufferedReader in =
-            new BufferedReader(Channels.newReader(caller, StandardCharsets.UTF_8), LINE);
+            new BufferedReader(
+                Channels.newReader(client, StandardCharsets.UTF_8), READ_BUFFER_CHARS);
         PrintWriter answers =
-            new PrintWriter(Channels.newWriter(caller, StandardCharsets.UTF_8), true)) {
+            new PrintWriter(Channels.newWriter(client, StandardCharsets.UTF_8), true)) {
       String line = in.readLine();
-      Order order = line == null ? null : orders.get(line.trim());
-      if (order == null) {
-        answers.println("unknown order; there are " + String.join(", ", orders.keySet()));
+      CommandHandler handler = line == null ? null : handlers.get(line.trim());
+      if (handler == null) {
+        answers.println("unknown order; there are " + String.join(", ", handlers.keySet()));
       } else {
-        order.carryOut(answers);
+        handler.carryOut(answers);
       }
     } catch (IOException e) {
       LOG.debug("a control connection broke", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      bound.cancel(false);
+      timeout.cancel(false);
     }
   }
 
-  private static void close(SocketChannel caller) {
+  private static void close(SocketChannel client) {
     try {
-      caller.close();
+      client.close();
     } catch (IOException e) {
       LOG.debug("a control connection did not close", e);
     }
@@ -119,19 +122,19 @@
     open = false;
     try {
       server.close();
-      Files.deleteIfExists(place);
+      Files.deleteIfExists(socketPath);
     } catch (IOException e) {
       LOG.debug("the control socket did not close", e);
     }
-    pool.shutdown();
+    executor.shutdown();
   }
 
   /** A connection to the controller that has a folder. */
-  static final class Line implements AutoCloseable {
+  static final class Connection implements AutoCloseable {
     private final SocketChannel channel;
     private final BufferedReader in;
 
-    private Line(SocketChannel channel) {
+    private Connection(SocketChannel channel) {
       this.channel = channel;
       this.in =
           new BufferedReader(
@@ -139,24 +142,24 @@
     }
 
     /** Gives one order; null where no controller has the folder. */
-    static Line give(Path folder, String order) throws IOException {
-      if (!Files.exists(place(folder))) {
+    static Connection send(Path folder, String command) throws IOException {
+      if (!Files.exists(socketPath(folder))) {
         return null;
       }
       SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
       try {
-        channel.connect(UnixDomainSocketAddress.of(place(folder)));
+        channel.connect(UnixDomainSocketAddress.of(socketPath(folder)));
       } catch (IOException e) {
         channel.close();
         return null;
       }
       PrintWriter out = new PrintWriter(Channels.newWriter(channel, StandardCharsets.UTF_8), true);
-      out.println(order);
-      return new Line(channel);
+      out.println(command);
+      return new Connection(channel);
     }
 
     /** The next line of the answer; null at its end. */
-    String next() throws IOException {
+    String readLine() throws IOException {
       return in.readLine();
     }
 
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -31,30 +31,30 @@
 /** One controller as a process: sockets, loop, metrics, and an orderly end. */
 public final class Daemon implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-  private static final int QUEUE = 100_000;
-  private static final double LOOK_EVERY = 20;
-  private static final double LOOK_RECOVERY = 500;
-  private static final double BYE_TIME = 300;
+  private static final int MAX_QUEUED_TASKS = 100_000;
+  private static final double DRAIN_CHECK_INTERVAL_MILLIS = 20;
+  private static final double RECOVERY_CHECK_INTERVAL_MILLIS = 500;
+  private static final double BYE_TIMEOUT_MILLIS = 300;
 
   private final Sockets sockets;
   private final EventLoop loop;
   private final SocketNode node;
   private final SipFront front;
-  private final PrometheusMeterRegistry meters =
+  private final PrometheusMeterRegistry meterRegistry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch terminated = new CountDownLatch(1);
   private final AttemptGuard guard;
   private final DiskStore store;
-  private ControlSocket control;
-  private HttpServer http;
+  private ControlSocket controlSocket;
+  private HttpServer metricsServer;
   private Settings settings;
-  private boolean ending;
+  private boolean shuttingDown;
   private volatile boolean handedOver;
 
   /** Opens what is kept, binds everything and begins to take calls. */
   public Daemon(Settings settings) throws IOException, DiskStore.UnusableFolderException {
     this.settings = settings;
-    loop = new EventLoop("controller", System.nanoTime(), QUEUE);
+    loop = new EventLoop("controller", System.nanoTime(), MAX_QUEUED_TASKS);
     store = settings.state() == null ? null : openStore(settings.state().folder());
     sockets = new Sockets(2);
     try {
@@ -62,16 +62,16 @@
           new SocketNode(
               sockets,
               loop,
-              settings.sockets(),
-              settings.listen().host(),
-              settings.listen().port(),
+              settings.socketLimits(),
+              settings.listenAddress().host(),
+              settings.listenAddress().port(),
               new SecureRandom().nextLong());
-      if (settings.metrics() != null) {
-        http = metricsServer(settings);
+      if (settings.metricsAddress() != null) {
+        metricsServer = startMetricsServer(settings);
       }
       if (store != null) {
-        control = new ControlSocket(settings.state().folder());
-        control.serve("hand-over", this::handOver);
+        controlSocket = new ControlSocket(settings.state().folder());
+        controlSocket.serve("hand-over", this::handOver);
       }
     } catch (IOException e) {
       sockets.close();
@@ -80,65 +80,74 @@
       }
       throw e;
     }
-    guard = new AttemptGuard(settings.calls().guard(), settings.calls().grace());
-    List<String> names = settings.classes().stream().map(Settings.Kind::name).toList();
+    guard = new AttemptGuard(settings.calls().guardMillis(), settings.calls().drainGraceMillis());
+    List<String> classNames =
+        settings.classes().stream().map(Settings.ClassSettings::name).toList();
     front =
         new SipFront(
             node,
-            settings.front(),
-            settings.rules(),
+            settings.frontSettings(),
+            settings.policySettings(),
             guard,
-            new CallLog(meters, names),
-            actions -> new NestedThresholdPolicy(settings.rules(), settings.seed(), actions),
-            store == null ? null : keeping(settings));
-    gauges();
+            new CallLog(meterRegistry, classNames),
+            actions ->
+                new NestedThresholdPolicy(settings.policySettings(), settings.seed(), actions),
+            store == null ? null : openPersistence(settings));
+    registerGauges();
     if (store != null) {
-      storeGauges();
+      registerStoreGauges();
     }
     loop.start();
     node.start(front);
     if (store != null) {
-      loop.execute(this::reportFound);
+      loop.execute(this::logRecoveryStart);
     }
     LOG.info("controller runs", kv("domain", settings.domain()), kv("port", node.port()));
   }
 
   private DiskStore openStore(Path folder) throws IOException, DiskStore.UnusableFolderException {
-    long begun = System.nanoTime();
-    DiskStore opened = new DiskStore(folder, loop::execute);
-    long millis = (System.nanoTime() - begun) / 1_000_000;
+    long startNanos = System.nanoTime();
+    DiskStore openedStore = new DiskStore(folder, loop::execute);
+    long millis = (System.nanoTime() - startNanos) / 1_000_000;
     LOG.info("state opened", kv("folder", folder), kv("millis", millis));
-    opened.initialContents().damagedRecords().forEach(what -> LOG.error("set aside: {}", what));
-    if (opened.initialContents().outOfDate()) {
+    openedStore
+        .initialContents()
+        .damagedRecords()
+        .forEach(damagedRecord -> LOG.error("set aside: {}", damagedRecord));
+    if (openedStore.initialContents().outOfDate()) {
       LOG.warn(
           "calls had gone on unkept before this start: those set-ups are called off unanswered");
     }
-    return opened;
+    return openedStore;
   }
 
-  private SipFront.Persistence keeping(Settings from) throws IOException {
-    PersistentMonotonicClock clock = PersistentMonotonicClock.open(from.state().folder());
-    return new SipFront.Persistence(store, from.state().budget(), clock);
+  private SipFront.Persistence openPersistence(Settings initialSettings) throws IOException {
+    PersistentMonotonicClock clock =
+        PersistentMonotonicClock.open(initialSettings.state().folder());
+    return new SipFront.Persistence(store, initialSettings.state().recoveryBudget(), clock);
   }
 
-  private void storeGauges() {
+  private void registerStoreGauges() {
     Gauge.builder("coveladder.state.calls", front, f -> f.writeAhead().persistedCallCount())
-        .register(meters);
+        .register(meterRegistry);
     Gauge.builder("coveladder.state.unkept", front, f -> f.writeAhead().unpersistedActions())
-        .register(meters);
-    Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges).register(meters);
-    Gauge.builder("coveladder.state.commits", store, DiskStore::commitCount).register(meters);
-    Gauge.builder("coveladder.state.failures", store, DiskStore::failureCount).register(meters);
+        .register(meterRegistry);
+    Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges)
+        .register(meterRegistry);
+    Gauge.builder("coveladder.state.commits", store, DiskStore::commitCount)
+        .register(meterRegistry);
+    Gauge.builder("coveladder.state.failures", store, DiskStore::failureCount)
+        .register(meterRegistry);
     Gauge.builder("coveladder.state.failing", store, s -> s.failureReason().isEmpty() ? 0 : 1)
-        .register(meters);
+        .register(meterRegistry);
     Gauge.builder("coveladder.recovery.open", front, f -> f.recovery().isComplete() ? 0 : 1)
-        .register(meters);
+        .register(meterRegistry);
     Gauge.builder("coveladder.recovery.gone", front, f -> f.recovery().releasedCalls())
-        .register(meters);
+        .register(meterRegistry);
   }
 
   /** Says what a start found, and once more when all of it is settled. */
-  private void reportFound() {
+  private void logRecoveryStart() {
     Recovery recovery = front.recovery();
     LOG.info(
         "going on from state",
@@ -146,10 +155,10 @@
         kv("cutShort", recovery.recoveredCalls(Phase.SETTING_UP)),
         kv("answersOnTheirWay", recovery.recoveredCalls(Phase.ANSWERED)),
         kv("damaged", recovery.damagedRecords()));
-    watchRecovery();
+    awaitRecovery();
   }
 
-  private void watchRecovery() {
+  private void awaitRecovery() {
     Recovery recovery = front.recovery();
     if (recovery.isComplete()) {
       LOG.info(
@@ -158,17 +167,18 @@
           kv("gone", recovery.releasedCalls()),
           kv("after", Math.round(loop.now())));
     } else {
-      loop.after(LOOK_RECOVERY, this::watchRecovery);
+      loop.after(RECOVERY_CHECK_INTERVAL_MILLIS, this::awaitRecovery);
     }
   }
 
-  private HttpServer metricsServer(Settings from) throws IOException {
-    InetSocketAddress at = new InetSocketAddress(from.metrics().host(), from.metrics().port());
+  private HttpServer startMetricsServer(Settings from) throws IOException {
+    InetSocketAddress at =
+        new InetSocketAddress(from.metricsAddress().host(), from.metricsAddress().port());
     HttpServer server = HttpServer.create(at, 16);
     server.createContext(
         "/metrics",
         exchange -> {
-          byte[] text = meters.scrape().getBytes(StandardCharsets.UTF_8);
+          byte[] text = meterRegistry.scrape().getBytes(StandardCharsets.UTF_8);
           exchange.getResponseHeaders().add("Content-Type", "text/plain; version=0.0.4");
           exchange.sendResponseHeaders(200, text.length);
           exchange.getResponseBody().write(text);
@@ -178,20 +188,23 @@
     return server;
   }
 
-  private void gauges() {
-    Gauge.builder("coveladder.calls.held", front, f -> f.controller().callCount()).register(meters);
-    Gauge.builder("coveladder.loop.waiting", loop, EventLoop::queuedTasks).register(meters);
-    Gauge.builder("coveladder.loop.dropped", loop, EventLoop::droppedTasks).register(meters);
-    Gauge.builder("coveladder.loop.faults", loop, EventLoop::failedTasks).register(meters);
-    Gauge.builder("coveladder.connections", node, SocketNode::connectionCount).register(meters);
+  private void registerGauges() {
+    Gauge.builder("coveladder.calls.held", front, f -> f.controller().callCount())
+        .register(meterRegistry);
+    Gauge.builder("coveladder.loop.waiting", loop, EventLoop::queuedTasks).register(meterRegistry);
+    Gauge.builder("coveladder.loop.dropped", loop, EventLoop::droppedTasks).register(meterRegistry);
+    Gauge.builder("coveladder.loop.faults", loop, EventLoop::failedTasks).register(meterRegistry);
+    Gauge.builder("coveladder.connections", node, SocketNode::connectionCount)
+        .register(meterRegistry);
     Gauge.builder("coveladder.peers.let.go", node, SocketNode::overflowDisconnects)
-        .register(meters);
+        .register(meterRegistry);
     Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().malformedMessages())
-        .register(meters);
-    Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::suppressed).register(meters);
+        .register(meterRegistry);
+    Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::suppressed)
+        .register(meterRegistry);
     Gauge.builder(
             "coveladder.transactions", front, f -> f.stack().userAgent().transactionLayer().size())
-        .register(meters);
+        .register(meterRegistry);
   }
 
   /** The port that it listens on. */
@@ -201,21 +214,21 @@
 
   /** The port of its metrics; -1 if there are none. */
   public int metricsPort() {
-    return http == null ? -1 : http.getAddress().getPort();
+    return metricsServer == null ? -1 : metricsServer.getAddress().getPort();
   }
 
   /** Takes new settings as far as they can change in service; says what cannot. */
-  public List<String> reload(Settings news) {
-    List<String> fixed = settings.fixedDifferences(news);
-    loop.offer(() -> front.reload(news.front()));
-    LogLevel.set(news.logLevel());
-    settings = news;
-    if (fixed.isEmpty()) {
+  public List<String> reload(Settings newSettings) {
+    List<String> unchangedSettings = settings.changesNeedingRestart(newSettings);
+    loop.offer(() -> front.reload(newSettings.frontSettings()));
+    LogLevel.set(newSettings.logLevel());
+    settings = newSettings;
+    if (unchangedSettings.isEmpty()) {
       LOG.info("settings reloaded");
     } else {
-      LOG.warn("settings reloaded, but these need a restart", kv("unchanged", fixed));
+      LOG.warn("settings reloaded, but these need a restart", kv("unchanged", unchangedSettings));
     }
-    return fixed;
+    return unchangedSettings;
   }
 
   /**
@@ -226,9 +239,9 @@
     if (handedOver) {
       return;
     }
-    loop.put(this::beginEnd);
-    long most = (long) (settings.calls().drain() + 3 * BYE_TIME);
-    if (!ended.await(most, TimeUnit.MILLISECONDS)) {
+    loop.put(this::beginShutDown);
+    long timeoutMillis = (long) (settings.calls().drainTimeoutMillis() + 3 * BYE_TIMEOUT_MILLIS);
+    if (!terminated.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
       LOG.warn(
           "ended with attempts still out",
           kv("outstanding", front.controller().outstandingAttempts()));
@@ -247,70 +260,70 @@
     loop.put(
         () -> {
           LOG.info("handing over", kv("unanswered", front.controller().pendingCallCount()));
-          ending = true;
+          shuttingDown = true;
           front.drain();
-          watchDrain(loop.now() + settings.calls().drain(), drained);
+          awaitDrain(loop.now() + settings.calls().drainTimeoutMillis(), drained);
         });
-    drained.await((long) settings.calls().drain() + 1_000, TimeUnit.MILLISECONDS);
+    drained.await((long) settings.calls().drainTimeoutMillis() + 1_000, TimeUnit.MILLISECONDS);
     handedOver = true;
     node.close();
     answers.println("released " + System.nanoTime());
-    closeRest();
-    ended.countDown();
+    closeAllButNode();
+    terminated.countDown();
   }
 
-  private void watchDrain(double until, CountDownLatch drained) {
+  private void awaitDrain(double deadline, CountDownLatch drained) {
     boolean busy =
         front.controller().pendingCallCount() + front.controller().outstandingAttempts() > 0;
-    if (busy && loop.now() < until) {
-      loop.after(LOOK_EVERY / 4, () -> watchDrain(until, drained));
+    if (busy && loop.now() < deadline) {
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS / 4, () -> awaitDrain(deadline, drained));
     } else {
-      loop.after(LOOK_EVERY, drained::countDown);
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, drained::countDown);
     }
   }
 
   /** Waits until this process was asked to end or has handed over. */
-  public void awaitEnd() throws InterruptedException {
-    ended.await();
+  public void awaitTermination() throws InterruptedException {
+    terminated.await();
   }
 
-  private void beginEnd() {
-    if (!ending) {
-      ending = true;
+  private void beginShutDown() {
+    if (!shuttingDown) {
+      shuttingDown = true;
       LOG.info("shutting down", kv("unanswered", front.controller().pendingCallCount()));
       front.shutDown();
-      double until = loop.now() + settings.calls().drain();
-      loop.after(LOOK_EVERY, () -> watchEnd(until));
+      double deadline = loop.now() + settings.calls().drainTimeoutMillis();
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitOutstandingAttempts(deadline));
     }
   }
 
-  private void watchEnd(double until) {
-    if (front.controller().outstandingAttempts() > 0 && loop.now() < until) {
-      loop.after(LOOK_EVERY, () -> watchEnd(until));
+  private void awaitOutstandingAttempts(double deadline) {
+    if (front.controller().outstandingAttempts() > 0 && loop.now() < deadline) {
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitOutstandingAttempts(deadline));
       return;
     }
     front.controller().releaseEstablished();
-    loop.after(BYE_TIME, ended::countDown);
+    loop.after(BYE_TIMEOUT_MILLIS, terminated::countDown);
   }
 
   @Override
   public void close() {
     node.close();
-    closeRest();
+    closeAllButNode();
   }
 
   /** The store closes while the loop runs: those who wait for the disk are told there. */
-  private void closeRest() {
-    if (control != null) {
-      control.close();
+  private void closeAllButNode() {
+    if (controlSocket != null) {
+      controlSocket.close();
     }
     if (store != null) {
       store.close();
     }
     loop.close();
     sockets.close();
-    if (http != null) {
-      http.stop(0);
+    if (metricsServer != null) {
+      metricsServer.stop(0);
     }
   }
 }
--- a/app/src/main/java/coveladder/app/Main.java
+++ b/app/src/main/java/coveladder/app/Main.java
@@ -36,18 +36,18 @@
 
   static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Main());
-    line.setExecutionExceptionHandler(Main::explain);
+    line.setExecutionExceptionHandler(Main::reportUserError);
     return line;
   }
 
   /** What a user did wrong is told in a line or two, not by a stack trace. */
-  private static int explain(Exception e, CommandLine line, CommandLine.ParseResult parsed)
-      throws Exception {
-    if (e instanceof SettingsFile.Unusable
+  private static int reportUserError(
+      Exception e, CommandLine commandLine, CommandLine.ParseResult parseResult) throws Exception {
+    if (e instanceof SettingsFile.UnusableSettingsException
         || e instanceof DiskStore.UnusableFolderException
         || e instanceof IOException) {
       boolean missing = e instanceof java.nio.file.NoSuchFileException;
-      line.getErr().println(missing ? "no such file: " + e.getMessage() : e.getMessage());
+      commandLine.getErr().println(missing ? "no such file: " + e.getMessage() : e.getMessage());
       return 2;
     }
     throw e;
--- a/app/src/main/java/coveladder/app/Problems.java
+++ b/app/src/main/java/coveladder/app/Problems.java
@@ -9,53 +9,54 @@
 /** Everything that is wrong with a settings file, each with its place. */
 final class Problems {
   private final String file;
-  private final List<String> texts = new ArrayList<>();
+  private final List<String> messages = new ArrayList<>();
 
   Problems(String file) {
     this.file = file;
   }
 
-  void at(KdlNode node, String what) {
-    at(node.line(), node.column(), what);
+  void add(KdlNode node, String description) {
+    add(node.line(), node.column(), description);
   }
 
-  void at(KdlValue value, String what) {
-    at(value.line(), value.column(), what);
+  void add(KdlValue value, String description) {
+    add(value.line(), value.column(), description);
   }
 
-  void at(int line, int column, String what) {
-    texts.add(file + ":" + line + ":" + column + ": " + what);
+  void add(int line, int column, String description) {
+    messages.add(file + ":" + line + ":" + column + ": " + description);
   }
 
   /** Something unknown, with the nearest known name. */
-  void unknown(int line, int column, String kind, String name, Collection<String> known) {
-    String nearest = nearest(name, known);
+  void addUnknownName(
+      int line, int column, String kind, String name, Collection<String> knownNames) {
+    String nearest = nearest(name, knownNames);
     String hint =
         nearest == null
-            ? "; known are " + String.join(", ", known)
+            ? "; known are " + String.join(", ", knownNames)
             : "; did you mean " + nearest + "?";
-    at(line, column, "unknown " + kind + " " + name + hint);
+    add(line, column, "unknown " + kind + " " + name + hint);
   }
 
-  List<String> texts() {
-    return texts;
+  List<String> messages() {
+    return messages;
   }
 
-  private static String nearest(String name, Collection<String> known) {
-    String best = null;
-    int least = Math.max(2, name.length() / 2);
-    for (String candidate : known) {
-      int distance = distance(name, candidate);
-      if (distance <= least) {
-        least = distance - 1;
-        best = candidate;
+  private static String nearest(String name, Collection<String> knownNames) {
+    String nearest = null;
+    int maxDistance = Math.max(2, name.length() / 2);
+    for (String candidate : knownNames) {
+      int distance = editDistance(name, candidate);
+      if (distance <= maxDistance) {
+        maxDistance = distance - 1;
+        nearest = candidate;
       }
     }
-    return best;
+    return nearest;
   }
 
   /** Letters to add, drop or change, by Levenshtein. */
-  private static int distance(String one, String other) {
+  private static int editDistance(String one, String other) {
     int[] row = new int[other.length() + 1];
     for (int j = 0; j <= other.length(); j++) {
       row[j] = j;
@@ -64,9 +65,9 @@
       int diagonal = row[0];
       row[0] = i;
       for (int j = 1; j <= other.length(); j++) {
-        int changed = diagonal + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
+        int substituted = diagonal + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
         diagonal = row[j];
-        row[j] = Math.min(changed, Math.min(row[j], row[j - 1]) + 1);
+        row[j] = Math.min(substituted, Math.min(row[j], row[j - 1]) + 1);
       }
     }
     return row[other.length()];
--- a/app/src/main/java/coveladder/app/RehearseCommand.java
+++ b/app/src/main/java/coveladder/app/RehearseCommand.java
@@ -29,7 +29,7 @@
       "Exit status 0 only if the checker finds all five rules kept and every call ended."
     })
 final class RehearseCommand implements Callable<Integer> {
-  private static final Map<String, RestartRehearsal.Mode> PROCESSES =
+  private static final Map<String, RestartRehearsal.Mode> RESTART_MODES =
       Map.of(
           "restart", RestartRehearsal.Mode.RESTART,
           "region", RestartRehearsal.Mode.REGION,
@@ -81,12 +81,12 @@
       return 0;
     }
     if (name.equals("boundaries")) {
-      long all = SeedSweep.restarts(Days.boundaries(), seed, -1).lives().boundaries();
-      out.printf("%d boundaries, a kill at each in turn%n", all);
-      return sweep(out, SeedSweep.ofBoundaries(Days.boundaries(), seed), 1, (int) all);
+      long boundaryCount = SeedSweep.restarts(Days.boundaries(), seed, -1).lives().boundaries();
+      out.printf("%d boundaries, a kill at each in turn%n", boundaryCount);
+      return sweep(out, SeedSweep.ofBoundaries(Days.boundaries(), seed), 1, (int) boundaryCount);
     }
-    if (PROCESSES.containsKey(name)) {
-      RestartRehearsal.Mode mode = PROCESSES.get(name);
+    if (RESTART_MODES.containsKey(name)) {
+      RestartRehearsal.Mode mode = RESTART_MODES.get(name);
       return new RestartRehearsal(mode, seed, calls, ends, out).play() ? 0 : 1;
     }
     if (seeds > 0) {
@@ -104,15 +104,15 @@
   }
 
   private int play(PrintWriter out, Day day) throws IOException {
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (World world = simulated ? new SimWorld(seed) : new SocketWorld(seed)) {
       Rehearsal.Result result = Rehearsal.play(world, day, seed, Tampering.NONE);
       out.println(new ServiceReport(result.plan(), result.fates()));
       out.println(result.verdict());
-      int open = result.calls() - result.fates().size();
+      int unfinished = result.calls() - result.fates().size();
       out.printf(
           "%d calls, %d without an end, %d messages, %.1f s%n",
-          result.calls(), open, result.messages(), (System.nanoTime() - begun) / 1e9);
+          result.calls(), unfinished, result.messages(), (System.nanoTime() - startNanos) / 1e9);
       out.println(result.clean() ? "all rules hold" : "NOT CLEAN");
       return result.clean() ? 0 : 1;
     }
@@ -128,14 +128,18 @@
 
   private int sweep(PrintWriter out, SeedSweep sweep, long first, int count)
       throws InterruptedException {
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     List<SeedSweep.Failing> failing =
         sweep.play(first, count, Runtime.getRuntime().availableProcessors());
-    double spent = (System.nanoTime() - begun) / 1e9;
-    failing.forEach(one -> out.printf("number %d:%n%s%n", one.seed(), one.what()));
+    double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+    failing.forEach(failure -> out.printf("number %d:%n%s%n", failure.seed(), failure.what()));
     out.printf(
         "%d played, %d calls, %.1f s, %.0f a minute; %d failing%n",
-        sweep.played(), sweep.calls(), spent, sweep.played() * 60 / spent, failing.size());
+        sweep.played(),
+        sweep.calls(),
+        elapsedSeconds,
+        sweep.played() * 60 / elapsedSeconds,
+        failing.size());
     return failing.isEmpty() ? 0 : 1;
   }
 
--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -39,22 +39,22 @@
  * that the seed draws, amid calls. Stand-ins and the checker live on in this process.
  */
 final class RestartRehearsal {
-  private static final double BEGIN = 3_000;
-  private static final double SETTLE = 60_000;
-  private static final double RING = 300;
-  private static final String WIRE = "wire.txt";
+  private static final double LOAD_START_MILLIS = 3_000;
+  private static final double SETTLE_TIMEOUT_MILLIS = 60_000;
+  private static final double ANSWER_DELAY_MILLIS = 300;
+  private static final String MESSAGE_LOG_NAME = "wire.txt";
 
   private final Mode mode;
   private final long seed;
-  private final int calls;
-  private final int ends;
+  private final int callCount;
+  private final int endCount;
   private final PrintWriter out;
   private final SplittableRandom random;
   private final FleetPlan plan;
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final Map<String, PlannedCall> stood = new TreeMap<>();
-  private final List<Double> pauses = new ArrayList<>();
-  private final List<Double> downs = new ArrayList<>();
+  private final Map<String, PlannedCall> establishedCalls = new TreeMap<>();
+  private final List<Double> listeningPausesMillis = new ArrayList<>();
+  private final List<Double> downtimesMillis = new ArrayList<>();
   private SocketWorld world;
   private Fleet fleet;
 
@@ -71,58 +71,58 @@
   /**
    * Makes a rehearsal.
    *
-   * @param calls calls to be made, about
-   * @param ends how many times a controller ends
+   * @param callCount calls to be made, about
+   * @param endCount how many times a controller ends
    */
-  RestartRehearsal(Mode mode, long seed, int calls, int ends, PrintWriter out) {
+  RestartRehearsal(Mode mode, long seed, int callCount, int endCount, PrintWriter out) {
     this.mode = mode;
     this.seed = seed;
-    this.calls = calls;
-    this.ends = ends;
+    this.callCount = callCount;
+    this.endCount = endCount;
     this.out = out;
     this.random = new SplittableRandom(seed ^ 0xfa11);
-    FleetPlan eight = FleetPlan.eight();
+    FleetPlan eightExchanges = FleetPlan.eight();
     this.plan =
         new FleetPlan(
-            eight.exchanges(),
-            eight.trunk(),
-            eight.rate(),
-            eight.kinds(),
-            eight.processor(),
-            eight.listLateness(),
-            RING,
-            eight.timing());
+            eightExchanges.exchanges(),
+            eightExchanges.trunk(),
+            eightExchanges.rate(),
+            eightExchanges.kinds(),
+            eightExchanges.processor(),
+            eightExchanges.listLateness(),
+            ANSWER_DELAY_MILLIS,
+            eightExchanges.timing());
   }
 
   /** Plays it; whether all rules hold and every call came to its end. */
   boolean play() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("coveladder-rehearsal");
-    Thread ending = new Thread(this::killAll, "kill");
-    Runtime.getRuntime().addShutdownHook(ending);
-    try (SocketWorld made = new SocketWorld(seed)) {
-      world = made;
-      Map<Integer, Hop> places = places();
-      fleet = new Fleet(world, plan, seed, places);
-      startAll(folder, places);
-      boolean clean = run(places);
+    Thread shutdownHook = new Thread(this::killAll, "kill");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
+    try (SocketWorld socketWorld = new SocketWorld(seed)) {
+      world = socketWorld;
+      Map<Integer, Hop> addresses = chooseAddresses();
+      fleet = new Fleet(world, plan, seed, addresses);
+      startAll(folder, addresses);
+      boolean clean = runLoad(addresses);
       if (!clean) {
-        keepWire(folder);
+        saveMessages(folder);
       }
       return clean;
     } finally {
       killAll();
-      Runtime.getRuntime().removeShutdownHook(ending);
-      if (!Files.exists(folder.resolve(WIRE))) {
-        delete(folder);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
+      if (!Files.exists(folder.resolve(MESSAGE_LOG_NAME))) {
+        deleteTree(folder);
       }
     }
   }
 
   /** What crossed the wire stays beside the logs, for whoever looks for the fault. */
-  private void keepWire(Path folder) throws IOException {
-    try (PrintWriter wire =
-        new PrintWriter(Files.newBufferedWriter(folder.resolve(WIRE), ISO_8859_1))) {
-      world.tap().print(wire);
+  private void saveMessages(Path folder) throws IOException {
+    try (PrintWriter writer =
+        new PrintWriter(Files.newBufferedWriter(folder.resolve(MESSAGE_LOG_NAME), ISO_8859_1))) {
+      world.tap().print(writer);
     }
     out.println("logs and wire of this run: " + folder);
   }
@@ -130,39 +130,42 @@
   // ---- Raising ------------------------------------------------------------------------------
 
   /** Ports below those that the system gives to connections, so that each stays free when down. */
-  private Map<Integer, Hop> places() throws IOException {
-    Map<Integer, Hop> places = new HashMap<>();
+  private Map<Integer, Hop> chooseAddresses() throws IOException {
+    Map<Integer, Hop> addresses = new HashMap<>();
     int port = 16_000 + random.nextInt(8_000);
-    while (places.size() < plan.exchanges()) {
+    while (addresses.size() < plan.exchanges()) {
       port++;
       if (isFree(port)) {
-        places.put(places.size(), new Hop(Transport.UDP, "127.0.0.1", port));
+        addresses.put(addresses.size(), new Hop(Transport.UDP, "127.0.0.1", port));
       }
     }
-    return places;
+    return addresses;
   }
 
   private static boolean isFree(int port) {
-    InetAddress here = InetAddress.getLoopbackAddress();
-    try (ServerSocket tcp = new ServerSocket(port, 1, here);
-        DatagramSocket udp = new DatagramSocket(port, here)) {
+    InetAddress loopback = InetAddress.getLoopbackAddress();
+    try (ServerSocket tcp = new ServerSocket(port, 1, loopback);
+        DatagramSocket udp = new DatagramSocket(port, loopback)) {
       return tcp.isBound() && udp.isBound();
     } catch (IOException e) {
       return false;
     }
   }
 
-  private void startAll(Path folder, Map<Integer, Hop> places)
+  private void startAll(Path folder, Map<Integer, Hop> addresses)
       throws IOException, InterruptedException {
-    int list = world.place("list").port();
+    int listPort = world.place("list").port();
     for (int i = 0; i < plan.exchanges(); i++) {
-      Path settings = folder.resolve("x" + i + ".kdl");
-      int own = world.place(Fleet.switchName(i)).port();
-      Path state = folder.resolve("state-" + i);
-      Files.writeString(settings, SettingsText.of(plan, i, places.get(i).port(), own, list, state));
-      ControllerProcess made = new ControllerProcess(settings, folder.resolve("x" + i + ".log"));
-      controllers.add(made);
-      made.launch();
+      Path settingsFile = folder.resolve("x" + i + ".kdl");
+      int switchPort = world.place(Fleet.switchName(i)).port();
+      Path stateFolder = folder.resolve("state-" + i);
+      Files.writeString(
+          settingsFile,
+          SettingsText.of(plan, i, addresses.get(i).port(), switchPort, listPort, stateFolder));
+      ControllerProcess controller =
+          new ControllerProcess(settingsFile, folder.resolve("x" + i + ".log"));
+      controllers.add(controller);
+      controller.launch();
     }
     for (ControllerProcess controller : controllers) {
       controller.awaitReady();
@@ -179,7 +182,7 @@
     }
   }
 
-  private static void delete(Path folder) throws IOException {
+  private static void deleteTree(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(file);
@@ -189,31 +192,32 @@
 
   // ---- Playing ------------------------------------------------------------------------------
 
-  private boolean run(Map<Integer, Hop> places) throws IOException, InterruptedException {
-    double lasts = 1_000.0 * calls / (plan.rate() * plan.exchanges());
-    double begin = world.now() + BEGIN;
-    List<PlannedCall> plans = new ArrayList<>();
-    for (PlannedCall call : new Load(plan, seed).until(lasts)) {
-      plans.add(call.delayedBy(begin));
+  private boolean runLoad(Map<Integer, Hop> addresses) throws IOException, InterruptedException {
+    double durationMillis = 1_000.0 * callCount / (plan.rate() * plan.exchanges());
+    double startMillis = world.now() + LOAD_START_MILLIS;
+    List<PlannedCall> plannedCalls = new ArrayList<>();
+    for (PlannedCall call : new Load(plan, seed).until(durationMillis)) {
+      plannedCalls.add(call.delayedBy(startMillis));
     }
-    fleet.calls(plans);
-    Thread ender = new Thread(() -> endAndBegin(begin, lasts), "ender");
-    ender.start();
+    fleet.calls(plannedCalls);
+    Thread restarter = new Thread(() -> restartControllers(startMillis, durationMillis), "ender");
+    restarter.start();
     world.run(
-        begin + lasts + SETTLE, () -> world.now() > begin + lasts && fleet.callers().isDone());
-    ender.join();
-    world.run(world.now() + SETTLE, () -> fleet.trunks().busyCircuits() == 0);
+        startMillis + durationMillis + SETTLE_TIMEOUT_MILLIS,
+        () -> world.now() > startMillis + durationMillis && fleet.callers().isDone());
+    restarter.join();
+    world.run(world.now() + SETTLE_TIMEOUT_MILLIS, () -> fleet.trunks().busyCircuits() == 0);
     world.run(world.now() + 1_000, () -> false);
-    return report(places, plans.size());
+    return report(addresses, plannedCalls.size());
   }
 
-  private void endAndBegin(double begin, double lasts) {
-    double gap = (lasts - 1_000) / ends;
+  private void restartControllers(double startMillis, double durationMillis) {
+    double intervalMillis = (durationMillis - 1_000) / endCount;
     try {
-      for (int i = 0; i < ends; i++) {
-        double at = begin + 1_000 + gap * (i + random.nextDouble() / 2);
-        Thread.sleep(Math.max(0, Math.round(at - world.now())));
-        one(random.nextInt(plan.exchanges()));
+      for (int i = 0; i < endCount; i++) {
+        double atMillis = startMillis + 1_000 + intervalMillis * (i + random.nextDouble() / 2);
+        Thread.sleep(Math.max(0, Math.round(atMillis - world.now())));
+        restart(random.nextInt(plan.exchanges()));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -223,30 +227,30 @@
     }
   }
 
-  private void one(int number) throws IOException, InterruptedException {
+  private void restart(int number) throws IOException, InterruptedException {
     if (mode == Mode.REGION) {
-      region();
+      restartAll();
       return;
     }
-    noteStanding(number);
+    recordEstablishedCalls(number);
     String name = Fleet.controllerName(number);
     world.tap().note(world.now(), name, "killed");
-    double from = world.now();
+    double endedAt = world.now();
     if (mode == Mode.UPGRADE) {
-      pauses.add(controllers.get(number).takeOver());
+      listeningPausesMillis.add(controllers.get(number).takeOver());
     } else {
       controllers.get(number).kill();
       controllers.get(number).launch();
       controllers.get(number).awaitReady();
     }
     world.tap().note(world.now(), name, "started");
-    downs.add(world.now() - from);
+    downtimesMillis.add(world.now() - endedAt);
   }
 
-  private void region() throws IOException, InterruptedException {
-    double from = world.now();
+  private void restartAll() throws IOException, InterruptedException {
+    double endedAt = world.now();
     for (int i = 0; i < controllers.size(); i++) {
-      noteStanding(i);
+      recordEstablishedCalls(i);
       world.tap().note(world.now(), Fleet.controllerName(i), "killed");
       controllers.get(i).kill();
     }
@@ -257,12 +261,12 @@
       controllers.get(i).awaitReady();
       world.tap().note(world.now(), Fleet.controllerName(i), "started");
     }
-    downs.add(world.now() - from);
+    downtimesMillis.add(world.now() - endedAt);
   }
 
   /** Writes down which calls stand through a controller that is about to end. */
-  private void noteStanding(int number) throws InterruptedException {
-    CountDownLatch noted = new CountDownLatch(1);
+  private void recordEstablishedCalls(int number) throws InterruptedException {
+    CountDownLatch recorded = new CountDownLatch(1);
     world.at(
         world.now(),
         "callers",
@@ -270,15 +274,15 @@
           fleet
               .callers()
               .establishedCalls(number)
-              .forEach(call -> stood.put(call.sessionIdPrefix(), call));
-          noted.countDown();
+              .forEach(call -> establishedCalls.put(call.sessionIdPrefix(), call));
+          recorded.countDown();
         });
-    noted.await(5, TimeUnit.SECONDS);
+    recorded.await(5, TimeUnit.SECONDS);
   }
 
   // ---- Report -------------------------------------------------------------------------------
 
-  private boolean report(Map<Integer, Hop> places, int planned) throws IOException {
+  private boolean report(Map<Integer, Hop> addresses, int plannedCalls) throws IOException {
     Map<String, Hop> peers = new HashMap<>();
     peers.put("list", world.place("list"));
     peers.put("callers", world.place("callers"));
@@ -286,51 +290,64 @@
       peers.put(Fleet.switchName(i), world.place(Fleet.switchName(i)));
     }
     Verdict verdict =
-        Rehearsal.judge(new OutsideView(places, peers).with(world.tap().entries()), plan);
-    List<CallResult> fates = fleet.fates();
-    out.println(new ServiceReport(plan, fates));
+        Rehearsal.judge(new OutsideView(addresses, peers).with(world.tap().entries()), plan);
+    List<CallResult> results = fleet.fates();
+    out.println(new ServiceReport(plan, results));
     out.println(verdict);
-    survivors(fates);
-    times();
-    int open = planned - fates.size();
-    int held = fleet.trunks().busyCircuits();
+    printSurvivors(results);
+    printTimes();
+    int unfinished = plannedCalls - results.size();
+    int busyCircuits = fleet.trunks().busyCircuits();
     int errors = printErrors();
-    out.printf("%d calls, %d without an end, %d circuits still held%n", planned, open, held);
-    boolean clean = verdict.breaches() == 0 && open == 0 && held == 0 && errors == 0;
+    out.printf(
+        "%d calls, %d without an end, %d circuits still held%n",
+        plannedCalls, unfinished, busyCircuits);
+    boolean clean = verdict.breaches() == 0 && unfinished == 0 && busyCircuits == 0 && errors == 0;
     out.println(clean ? "all rules hold" : "NOT CLEAN");
     return clean;
   }
 
-  private void survivors(List<CallResult> fates) {
+  private void printSurvivors(List<CallResult> results) {
     out.println("calls that stood when their controller ended:");
     for (FleetPlan.Kind kind : plan.kinds()) {
-      List<CallResult> own =
-          fates.stream()
-              .filter(fate -> fate.plannedCall().priority().equals(kind.priority()))
-              .filter(fate -> stood.containsKey(fate.plannedCall().sessionIdPrefix()))
+      List<CallResult> classResults =
+          results.stream()
+              .filter(result -> result.plannedCall().priority().equals(kind.priority()))
+              .filter(
+                  result -> establishedCalls.containsKey(result.plannedCall().sessionIdPrefix()))
               .toList();
-      long kept =
-          own.stream().filter(fate -> !fate.disconnected() && !fate.endedByRemote()).count();
-      out.printf("  %-15s %6d stood  %6d stood on to their end%n", kind.name(), own.size(), kept);
+      long survived =
+          classResults.stream()
+              .filter(result -> !result.disconnected() && !result.endedByRemote())
+              .count();
+      out.printf(
+          "  %-15s %6d stood  %6d stood on to their end%n",
+          kind.name(), classResults.size(), survived);
     }
   }
 
-  private void times() {
-    double[] down = downs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    out.printf(Locale.ROOT, "%d ends; until it ran again: %s%n", down.length, spread(down));
-    if (!pauses.isEmpty()) {
-      double[] pause = pauses.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-      out.printf(Locale.ROOT, "pause in listening: %s%n", spread(pause));
+  private void printTimes() {
+    double[] downtimes =
+        downtimesMillis.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    out.printf(
+        Locale.ROOT,
+        "%d ends; until it ran again: %s%n",
+        downtimes.length,
+        medianAndLongest(downtimes));
+    if (!listeningPausesMillis.isEmpty()) {
+      double[] pauses =
+          listeningPausesMillis.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+      out.printf(Locale.ROOT, "pause in listening: %s%n", medianAndLongest(pauses));
     }
   }
 
-  private static String spread(double[] sorted) {
+  private static String medianAndLongest(double[] sorted) {
     if (sorted.length == 0) {
       return "none";
     }
     double median = sorted[sorted.length / 2];
-    double most = Arrays.stream(sorted).max().orElse(0);
-    return String.format(Locale.ROOT, "median %.0f ms, longest %.0f ms", median, most);
+    double longest = Arrays.stream(sorted).max().orElse(0);
+    return String.format(Locale.ROOT, "median %.0f ms, longest %.0f ms", median, longest);
   }
 
   private int printErrors() throws IOException {
--- a/app/src/main/java/coveladder/app/RunCommand.java
+++ b/app/src/main/java/coveladder/app/RunCommand.java
@@ -40,14 +40,14 @@
       spec.commandLine().getErr().println("--take-over needs a state folder in the settings");
       return 2;
     }
-    Daemon daemon = takeOver ? TakeOver.from(settings) : new Daemon(settings);
+    Daemon daemon = takeOver ? TakeOver.startInPlace(settings) : new Daemon(settings);
     Signals.setHandler("HUP", () -> reload(daemon));
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> end(daemon), "end"));
-    daemon.awaitEnd();
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(daemon), "end"));
+    daemon.awaitTermination();
     return 0;
   }
 
-  private static void end(Daemon daemon) {
+  private static void shutDown(Daemon daemon) {
     try {
       daemon.shutDown();
     } catch (InterruptedException e) {
@@ -59,7 +59,7 @@
   private void reload(Daemon daemon) {
     try {
       daemon.reload(SettingsFile.read(config));
-    } catch (IOException | SettingsFile.Unusable e) {
+    } catch (IOException | SettingsFile.UnusableSettingsException e) {
       LOG.error("settings not reloaded: {}", e.getMessage());
     }
   }
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -19,38 +19,38 @@
 /**
  * All settings of one controller.
  *
- * @param listen where it takes signalling, UDP and TCP
+ * @param listenAddress where it takes signalling, UDP and TCP
  * @param domain own domain
- * @param number number of the own exchange
- * @param instances how many controllers there are
- * @param ownSwitch where the own switch takes signalling
- * @param list where the exchange list is
+ * @param exchangeNumber number of the own exchange
+ * @param controllerCount how many controllers there are
+ * @param localSwitch where the own switch takes signalling
+ * @param listServer where the exchange list is
  * @param classes the call classes
  * @param calls figures for calls and attempts
- * @param cold figures of cold processors
+ * @param coldStart figures of cold processors
  * @param timing SIP timers
- * @param limits bounds of the stack
- * @param sockets bounds of the sockets
+ * @param stackLimits bounds of the stack
+ * @param socketLimits bounds of the sockets
  * @param state where calls are kept; null: nowhere, and they do not survive a restart
- * @param metrics where metrics are read over HTTP; null: nowhere
+ * @param metricsAddress where metrics are read over HTTP; null: nowhere
  * @param logLevel least level that is logged
  * @param seed seed of all random choices
  */
 public record Settings(
-    Hop listen,
+    Hop listenAddress,
     String domain,
-    int number,
-    int instances,
-    Hop ownSwitch,
-    Hop list,
-    List<Kind> classes,
-    Calls calls,
-    Cold cold,
+    int exchangeNumber,
+    int controllerCount,
+    Hop localSwitch,
+    Hop listServer,
+    List<ClassSettings> classes,
+    CallSettings calls,
+    ColdStartSettings coldStart,
     Timing timing,
-    SipStack.Limits limits,
-    SocketLimits sockets,
-    State state,
-    Hop metrics,
+    SipStack.Limits stackLimits,
+    SocketLimits socketLimits,
+    StateSettings state,
+    Hop metricsAddress,
     String logLevel,
     long seed) {
 
@@ -61,118 +61,124 @@
    * @param priority its Resource-Priority value; empty: none
    * @param prefixes prefixes of numbers of this class
    * @param isDefault whether calls that fit no other class are of this one
-   * @param figures what the policy is told
+   * @param policyClass what the policy is told
    */
-  public record Kind(
-      String name, String priority, List<String> prefixes, boolean isDefault, CallClass figures) {}
+  public record ClassSettings(
+      String name,
+      String priority,
+      List<String> prefixes,
+      boolean isDefault,
+      CallClass policyClass) {}
 
   /**
    * Figures for calls and attempts.
    *
-   * @param attempts most attempts of a call
-   * @param guard wait after a time-out, reset or cancel, ms
-   * @param grace time to cease sending after word of a drain, ms
-   * @param patience patience of callers without Expires, ms
-   * @param answerMargin time kept for an answer's way, ms
-   * @param comeBack longest wait told to refused callers, ms; 0: none is told
-   * @param probe whether exchanges may be probed
-   * @param tell whether controllers may send each other messages
-   * @param listByAsking whether the policy must ask for the list
-   * @param most most calls held
-   * @param retryAfter seconds told at shutdown and at the bound
-   * @param drain longest time that calls in flight get at shutdown, ms
+   * @param maxAttempts most attempts of a call
+   * @param guardMillis wait after a time-out, reset or cancel, ms
+   * @param drainGraceMillis time to cease sending after word of a drain, ms
+   * @param patienceMillis patience of callers without Expires, ms
+   * @param answerMarginMillis time kept for an answer's way, ms
+   * @param maxRetryAfterMillis longest wait told to refused callers, ms; 0: none is told
+   * @param mayProbe whether exchanges may be probed
+   * @param mayBroadcast whether controllers may send each other messages
+   * @param directoryOnRequest whether the policy must ask for the list
+   * @param maxCalls most calls held
+   * @param retryAfterSeconds seconds told at shutdown and at the bound
+   * @param drainTimeoutMillis longest time that calls in flight get at shutdown, ms
    */
-  public record Calls(
-      int attempts,
-      double guard,
-      double grace,
-      double patience,
-      double answerMargin,
-      double comeBack,
-      boolean probe,
-      boolean tell,
-      boolean listByAsking,
-      int most,
-      int retryAfter,
-      double drain) {}
+  public record CallSettings(
+      int maxAttempts,
+      double guardMillis,
+      double drainGraceMillis,
+      double patienceMillis,
+      double answerMarginMillis,
+      double maxRetryAfterMillis,
+      boolean mayProbe,
+      boolean mayBroadcast,
+      boolean directoryOnRequest,
+      int maxCalls,
+      int retryAfterSeconds,
+      double drainTimeoutMillis) {}
 
   /**
    * Figures of cold processors.
    *
-   * @param from share of its capacity at which one begins
-   * @param ramp time until it is warm, ms
-   * @param multiple multiple of what it can do that it bears
-   * @param window window over which that is counted, ms
+   * @param coldShare share of its capacity at which one begins
+   * @param rampMillis time until it is warm, ms
+   * @param coldMultiple multiple of what it can do that it bears
+   * @param windowMillis window over which that is counted, ms
    */
-  public record Cold(double from, double ramp, double multiple, double window) {}
+  public record ColdStartSettings(
+      double coldShare, double rampMillis, double coldMultiple, double windowMillis) {}
 
   /**
    * Where calls are kept, and how a start goes on with them.
    *
    * @param folder the folder
-   * @param perSecond calls a second that recovery may deal with
-   * @param askAfter time until standing calls are asked after, ms
+   * @param recoveredCallsPerSecond calls a second that recovery may deal with
+   * @param verifyDelayMillis time until standing calls are asked after, ms
    */
-  public record State(Path folder, double perSecond, double askAfter) {
-    RecoveryRate.Budget budget() {
-      return new RecoveryRate.Budget(perSecond, askAfter);
+  public record StateSettings(
+      Path folder, double recoveredCallsPerSecond, double verifyDelayMillis) {
+    RecoveryRate.Budget recoveryBudget() {
+      return new RecoveryRate.Budget(recoveredCallsPerSecond, verifyDelayMillis);
     }
   }
 
   /** What the policy is told. */
-  public CallPolicy.Settings rules() {
+  public CallPolicy.Settings policySettings() {
     return new CallPolicy.Settings(
         Layout.MESH,
-        number,
-        instances,
-        classes.stream().map(Kind::figures).toList(),
+        exchangeNumber,
+        controllerCount,
+        classes.stream().map(ClassSettings::policyClass).toList(),
         5,
-        calls.attempts(),
+        calls.maxAttempts(),
         true,
-        calls.probe(),
-        calls.tell(),
-        calls.comeBack(),
-        calls.listByAsking(),
-        calls.guard(),
+        calls.mayProbe(),
+        calls.mayBroadcast(),
+        calls.maxRetryAfterMillis(),
+        calls.directoryOnRequest(),
+        calls.guardMillis(),
         timing.t1(),
-        cold.from(),
-        cold.ramp(),
-        cold.multiple(),
-        cold.window());
+        coldStart.coldShare(),
+        coldStart.rampMillis(),
+        coldStart.coldMultiple(),
+        coldStart.windowMillis());
   }
 
   /** What the SIP front is told. */
-  public FrontSettings front() {
+  public FrontSettings frontSettings() {
     return new FrontSettings(
         domain,
-        ownSwitch,
-        list,
+        localSwitch,
+        listServer,
         classTable(),
-        calls.patience(),
-        calls.answerMargin(),
-        calls.most(),
-        calls.retryAfter(),
+        calls.patienceMillis(),
+        calls.answerMarginMillis(),
+        calls.maxCalls(),
+        calls.retryAfterSeconds(),
         timing,
-        limits);
+        stackLimits);
   }
 
   /** The same on any free port, with its state in a folder and its neighbours at a port. */
-  Settings elsewhere(Path folder, int port) {
-    Hop nobody = new Hop(Transport.UDP, "127.0.0.1", port);
+  Settings forWarmUp(Path stateFolder, int unusedPort) {
+    Hop unusedAddress = new Hop(Transport.UDP, "127.0.0.1", unusedPort);
     return new Settings(
         new Hop(Transport.UDP, "127.0.0.1", 0),
         domain,
-        number,
-        instances,
-        nobody,
-        nobody,
+        exchangeNumber,
+        controllerCount,
+        unusedAddress,
+        unusedAddress,
         classes,
         calls,
-        cold,
+        coldStart,
         timing,
-        limits,
-        sockets,
-        new State(folder, state.perSecond(), state.askAfter()),
+        stackLimits,
+        socketLimits,
+        new StateSettings(stateFolder, state.recoveredCallsPerSecond(), state.verifyDelayMillis()),
         null,
         logLevel,
         seed);
@@ -182,59 +188,60 @@
     List<String> names = new ArrayList<>();
     List<String> priorities = new ArrayList<>();
     List<ClassTable.Prefix> prefixes = new ArrayList<>();
-    int fallback = 0;
-    for (Kind kind : classes) {
+    int defaultType = 0;
+    for (ClassSettings callClass : classes) {
       int type = names.size();
-      fallback = kind.isDefault() ? type : fallback;
-      names.add(kind.name());
-      priorities.add(kind.priority().toLowerCase(Locale.ROOT));
-      kind.prefixes().forEach(prefix -> prefixes.add(new ClassTable.Prefix(prefix, type)));
+      defaultType = callClass.isDefault() ? type : defaultType;
+      names.add(callClass.name());
+      priorities.add(callClass.priority().toLowerCase(Locale.ROOT));
+      callClass.prefixes().forEach(prefix -> prefixes.add(new ClassTable.Prefix(prefix, type)));
     }
-    return new ClassTable(names, priorities, prefixes, fallback);
+    return new ClassTable(names, priorities, prefixes, defaultType);
   }
 
   /** What differs in a reload and cannot change in service, by the names of the settings. */
-  public List<String> fixedDifferences(Settings other) {
+  public List<String> changesNeedingRestart(Settings other) {
     List<String> names = new ArrayList<>();
-    note(names, "listen", listen, other.listen);
-    note(names, "domain", domain, other.domain);
-    note(names, "exchange", number, other.number);
-    note(names, "fleet", instances, other.instances);
-    note(names, "switch", ownSwitch, other.ownSwitch);
-    note(names, "list", list, other.list);
-    note(names, "class", figures(), other.figures());
-    note(names, "cold", cold, other.cold);
-    note(names, "timers", timing, other.timing);
-    note(names, "limits", limits, other.limits);
-    note(names, "limits", sockets, other.sockets);
-    note(names, "state", state, other.state);
-    note(names, "metrics", metrics, other.metrics);
-    note(names, "seed", seed, other.seed);
-    note(
+    addIfChanged(names, "listen", listenAddress, other.listenAddress);
+    addIfChanged(names, "domain", domain, other.domain);
+    addIfChanged(names, "exchange", exchangeNumber, other.exchangeNumber);
+    addIfChanged(names, "fleet", controllerCount, other.controllerCount);
+    addIfChanged(names, "switch", localSwitch, other.localSwitch);
+    addIfChanged(names, "list", listServer, other.listServer);
+    addIfChanged(names, "class", policyClasses(), other.policyClasses());
+    addIfChanged(names, "cold", coldStart, other.coldStart);
+    addIfChanged(names, "timers", timing, other.timing);
+    addIfChanged(names, "limits", stackLimits, other.stackLimits);
+    addIfChanged(names, "limits", socketLimits, other.socketLimits);
+    addIfChanged(names, "state", state, other.state);
+    addIfChanged(names, "metrics", metricsAddress, other.metricsAddress);
+    addIfChanged(names, "seed", seed, other.seed);
+    addIfChanged(
         names,
         "calls attempts, guard, grace, come-back, probe, tell or list-by-asking",
-        fixedCalls(),
-        other.fixedCalls());
+        fixedCallSettings(),
+        other.fixedCallSettings());
     return names;
   }
 
-  private List<CallClass> figures() {
-    return classes.stream().map(Kind::figures).toList();
+  private List<CallClass> policyClasses() {
+    return classes.stream().map(ClassSettings::policyClass).toList();
   }
 
-  private List<Object> fixedCalls() {
+  private List<Object> fixedCallSettings() {
     return List.of(
-        calls.attempts(),
-        calls.guard(),
-        calls.grace(),
-        calls.comeBack(),
-        calls.probe(),
-        calls.tell(),
-        calls.listByAsking());
+        calls.maxAttempts(),
+        calls.guardMillis(),
+        calls.drainGraceMillis(),
+        calls.maxRetryAfterMillis(),
+        calls.mayProbe(),
+        calls.mayBroadcast(),
+        calls.directoryOnRequest());
   }
 
-  private static void note(List<String> names, String name, Object one, Object other) {
-    if (!java.util.Objects.equals(one, other) && !names.contains(name)) {
+  private static void addIfChanged(
+      List<String> names, String name, Object value, Object otherValue) {
+    if (!java.util.Objects.equals(value, otherValue) && !names.contains(name)) {
       names.add(name);
     }
   }
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -20,7 +20,7 @@
 
 /** Reads settings from a KDL document; all problems are found in one reading. */
 public final class SettingsFile {
-  private static final List<String> ONCE =
+  private static final List<String> SINGLE_NODES =
       List.of(
           "listen",
           "domain",
@@ -36,24 +36,24 @@
           "metrics",
           "log",
           "seed");
-  private static final List<String> NEEDED =
+  private static final List<String> REQUIRED_NODES =
       List.of("listen", "domain", "exchange", "fleet", "switch", "list");
-  private static final double HOUR = 3_600_000;
+  private static final double HOUR_MILLIS = 3_600_000;
 
   private final Problems problems;
   private final Map<String, KdlNode> nodes = new HashMap<>();
-  private final List<Settings.Kind> classes = new ArrayList<>();
+  private final List<Settings.ClassSettings> classes = new ArrayList<>();
 
   private SettingsFile(String name) {
     problems = new Problems(name);
   }
 
   /** Settings that cannot be used; each problem is one line with file, line and column. */
-  public static final class Unusable extends Exception {
+  public static final class UnusableSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> problems;
 
-    Unusable(List<String> problems) {
+    UnusableSettingsException(List<String> problems) {
       super(String.join("\n", problems));
       this.problems = problems;
     }
@@ -65,49 +65,49 @@
   }
 
   /** Reads a file. */
-  public static Settings read(Path file) throws IOException, Unusable {
+  public static Settings read(Path file) throws IOException, UnusableSettingsException {
     return read(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
   }
 
   /** Reads a document that came under a name. */
-  public static Settings read(String name, String document) throws Unusable {
+  public static Settings read(String name, String document) throws UnusableSettingsException {
     SettingsFile file = new SettingsFile(name);
     Settings settings = null;
     try {
-      settings = file.settings(KdlReader.read(document));
+      settings = file.parse(KdlReader.read(document));
     } catch (KdlException e) {
-      file.problems.at(e.line(), e.column(), e.reason());
+      file.problems.add(e.line(), e.column(), e.reason());
     }
-    if (!file.problems.texts().isEmpty()) {
-      throw new Unusable(file.problems.texts());
+    if (!file.problems.messages().isEmpty()) {
+      throw new UnusableSettingsException(file.problems.messages());
     }
     return settings;
   }
 
-  private Settings settings(List<KdlNode> document) {
+  private Settings parse(List<KdlNode> document) {
     for (KdlNode node : document) {
-      sort(node);
+      addNode(node);
     }
-    for (String name : NEEDED) {
+    for (String name : REQUIRED_NODES) {
       if (!nodes.containsKey(name)) {
-        problems.at(1, 1, "node " + name + " is missing");
+        problems.add(1, 1, "node " + name + " is missing");
       }
     }
     if (classes.isEmpty()) {
-      problems.at(1, 1, "at least one class is needed");
+      problems.add(1, 1, "at least one class is needed");
     }
-    return problems.texts().isEmpty() ? build() : null;
+    return problems.messages().isEmpty() ? build() : null;
   }
 
-  private void sort(KdlNode node) {
+  private void addNode(KdlNode node) {
     if (node.name().equals("class")) {
-      classes.add(kind(new Section(node, problems)));
-    } else if (!ONCE.contains(node.name())) {
-      List<String> known = new ArrayList<>(ONCE);
-      known.add("class");
-      problems.unknown(node.line(), node.column(), "node", node.name(), known);
+      classes.add(classSettings(new Section(node, problems)));
+    } else if (!SINGLE_NODES.contains(node.name())) {
+      List<String> knownNames = new ArrayList<>(SINGLE_NODES);
+      knownNames.add("class");
+      problems.addUnknownName(node.line(), node.column(), "node", node.name(), knownNames);
     } else if (nodes.putIfAbsent(node.name(), node) != null) {
-      problems.at(node, "node " + node.name() + " stands twice");
+      problems.add(node, "node " + node.name() + " stands twice");
     }
   }
 
@@ -119,110 +119,113 @@
 
   private Settings build() {
     Section exchange = section("exchange");
-    int number = exchange.whole("number", Double.NaN, 0, 9999);
-    exchange.done();
+    int exchangeNumber = exchange.integer("number", Double.NaN, 0, 9999);
+    exchange.rejectUnknownContent();
     Section fleet = section("fleet");
-    int instances = fleet.whole("controllers", Double.NaN, 1, 10_000);
-    fleet.done();
+    int controllerCount = fleet.integer("controllers", Double.NaN, 1, 10_000);
+    fleet.rejectUnknownContent();
     Section seed = section("seed");
-    int drawn = seed.whole("value", 1, 0, Integer.MAX_VALUE);
-    seed.done();
+    int seedValue = seed.integer("value", 1, 0, Integer.MAX_VALUE);
+    seed.rejectUnknownContent();
     Section log = section("log");
     List<String> levels = List.of("error", "warn", "info", "debug");
-    String level = log.word("level", "info", levels);
-    log.done();
+    String level = log.choice("level", "info", levels);
+    log.rejectUnknownContent();
     Section limits = section("limits");
-    Settings made =
+    Settings settings =
         new Settings(
-            place("listen", false, 0),
+            address("listen", false, 0),
             section("domain").argument("the own domain"),
-            number,
-            instances,
-            place("switch", true, 1),
-            place("list", true, 1),
+            exchangeNumber,
+            controllerCount,
+            address("switch", true, 1),
+            address("list", true, 1),
             List.copyOf(classes),
-            calls(),
-            cold(),
+            callSettings(),
+            coldStartSettings(),
             timing(),
-            stack(limits),
-            sockets(limits),
-            nodes.containsKey("state") ? state() : null,
-            nodes.containsKey("metrics") ? place("metrics", false, 0) : null,
+            stackLimits(limits),
+            socketLimits(limits),
+            nodes.containsKey("state") ? stateSettings() : null,
+            nodes.containsKey("metrics") ? address("metrics", false, 0) : null,
             level,
-            drawn);
-    limits.done();
-    return made;
+            seedValue);
+    limits.rejectUnknownContent();
+    return settings;
   }
 
-  private Settings.State state() {
+  private Settings.StateSettings stateSettings() {
     Section section = section("state");
-    section.noArguments();
-    Settings.State made =
-        new Settings.State(
+    section.rejectArguments();
+    Settings.StateSettings settings =
+        new Settings.StateSettings(
             Path.of(section.text("folder", null)),
             section.number("recover-per-second", 200, 1, 100_000),
-            section.number("ask-after", 2_000, 0, HOUR));
-    section.done();
-    return made;
+            section.number("ask-after", 2_000, 0, HOUR_MILLIS));
+    section.rejectUnknownContent();
+    return settings;
   }
 
-  private Hop place(String name, boolean chosen, int leastPort) {
+  private Hop address(String name, boolean hasTransport, int minPort) {
     Section section = section(name);
-    section.noArguments();
+    section.rejectArguments();
     String host = section.text("host", "127.0.0.1");
-    int port = section.whole("port", Double.NaN, leastPort, 65535);
-    String by = chosen ? section.word("transport", "tcp", List.of("tcp", "udp")) : "udp";
-    section.done();
-    return new Hop(Transport.fromName(by), host, port);
+    int port = section.integer("port", Double.NaN, minPort, 65535);
+    String transport =
+        hasTransport ? section.choice("transport", "tcp", List.of("tcp", "udp")) : "udp";
+    section.rejectUnknownContent();
+    return new Hop(Transport.fromName(transport), host, port);
   }
 
-  private Settings.Kind kind(Section section) {
+  private Settings.ClassSettings classSettings(Section section) {
     String name = section.argument("its name");
     double worth = section.number("worth", 1, 0, 1e9);
-    double late = section.number("late", 0, 0, 1);
-    double aim = section.number("aim", Double.NaN, 1, HOUR);
-    double giveUp = section.number("give-up", Double.NaN, 1, HOUR);
-    int width = section.whole("width", 1, 1, 1000);
-    double hold = section.number("hold", Double.NaN, 1, 24 * HOUR);
+    double lateWorth = section.number("late", 0, 0, 1);
+    double aim = section.number("aim", Double.NaN, 1, HOUR_MILLIS);
+    double callerTimeout = section.number("give-up", Double.NaN, 1, HOUR_MILLIS);
+    int width = section.integer("width", 1, 1, 1000);
+    double hold = section.number("hold", Double.NaN, 1, 24 * HOUR_MILLIS);
     String priority = section.text("priority", "");
     String prefixes = section.text("prefixes", "");
     boolean isDefault = section.flag("default");
-    section.done();
-    List<String> list = prefixes.isBlank() ? List.of() : List.of(prefixes.trim().split("[ ,]+"));
-    CallClass figures = new CallClass(worth, late, aim, giveUp, width, hold, List.of());
-    return new Settings.Kind(name, priority, list, isDefault, figures);
+    section.rejectUnknownContent();
+    List<String> prefixList =
+        prefixes.isBlank() ? List.of() : List.of(prefixes.trim().split("[ ,]+"));
+    CallClass policyClass =
+        new CallClass(worth, lateWorth, aim, callerTimeout, width, hold, List.of());
+    return new Settings.ClassSettings(name, priority, prefixList, isDefault, policyClass);
   }
 
-  private Settings.Calls calls() {
+  private Settings.CallSettings callSettings() {
     Section section = section("calls");
-    Settings.Calls made =
-        new Settings.Calls(
-            section.whole("attempts", 6, 1, 100),
-            section.number("guard", 300, 0, HOUR),
-            section.number("grace", 250, 0, HOUR),
-            section.number("patience", 5_000, 1, HOUR),
-            section.number("answer-margin", 30, 0, HOUR),
-            section.number("come-back", 2_000, 0, HOUR),
+    Settings.CallSettings settings =
+        new Settings.CallSettings(
+            section.integer("attempts", 6, 1, 100),
+            section.number("guard", 300, 0, HOUR_MILLIS),
+            section.number("grace", 250, 0, HOUR_MILLIS),
+            section.number("patience", 5_000, 1, HOUR_MILLIS),
+            section.number("answer-margin", 30, 0, HOUR_MILLIS),
+            section.number("come-back", 2_000, 0, HOUR_MILLIS),
             section.flag("probe"),
             section.flag("tell"),
             section.flag("list-by-asking"),
-            section.whole("most", 100_000, 1, 10_000_000),
-            section.whole("retry-after", 2, 1, 3600),
-            section.number("drain", 2_000, 0, HOUR));
-    section.done();
-    return made;
+            section.integer("most", 100_000, 1, 10_000_000),
+            section.integer("retry-after", 2, 1, 3600),
+            section.number("drain", 2_000, 0, HOUR_MILLIS));
+    section.rejectUnknownContent();
+    return settings;
   }
 
-  private Settings.Cold cold() {
+  private Settings.ColdStartSettings coldStartSettings() {
     Section section = section("cold");
-    Settings.Cold made =
-        new Settings.Cold(
+    Settings.ColdStartSettings settings =
+        new Settings.ColdStartSettings(
             section.number("from", 0.3, 0.001, 1),
-            section.number("ramp", 12_000, 0, HOUR),
+            section.number("ramp", 12_000, 0, HOUR_MILLIS),
             section.number("multiple", 3, 0.1, 1000),
-            section.number("window", 3_000, 1, HOUR));
-    section.done();
-    return made;
+            section.number("window", 3_000, 1, HOUR_MILLIS));
+    section.rejectUnknownContent();
+    return settings;
   }
 
   private Timing timing() {
@@ -230,24 +233,24 @@
     double t1 = section.number("t1", 500, 1, 60_000);
     double t2 = section.number("t2", Math.max(4_000, t1), t1, 600_000);
     double t4 = section.number("t4", 5_000, 1, 600_000);
-    section.done();
+    section.rejectUnknownContent();
     return new Timing(t1, t2, t4);
   }
 
-  private static SipStack.Limits stack(Section limits) {
+  private static SipStack.Limits stackLimits(Section limits) {
     return new SipStack.Limits(
-        limits.whole("headers", 128, 10, 10_000),
-        limits.whole("transactions", 400_000, 10, 10_000_000));
+        limits.integer("headers", 128, 10, 10_000),
+        limits.integer("transactions", 400_000, 10, 10_000_000));
   }
 
-  private static SocketLimits sockets(Section limits) {
-    SocketLimits usual = SocketLimits.DEFAULTS;
+  private static SocketLimits socketLimits(Section limits) {
+    SocketLimits defaults = SocketLimits.DEFAULTS;
     return new SocketLimits(
-        limits.whole("head-bytes", usual.maxHeadBytes(), 1_000, 1 << 20),
-        limits.whole("body-bytes", usual.maxBodyBytes(), 1_000, 1 << 24),
-        limits.whole("connections", usual.maxConnections(), 1, 1_000_000),
-        limits.whole("waiting-bytes", usual.maxQueuedBytes(), 10_000, 1 << 30),
-        limits.number("connect-within", usual.connectTimeoutMillis(), 1, 60_000),
-        limits.number("ping-every", usual.pingIntervalMillis(), 100, HOUR));
+        limits.integer("head-bytes", defaults.maxHeadBytes(), 1_000, 1 << 20),
+        limits.integer("body-bytes", defaults.maxBodyBytes(), 1_000, 1 << 24),
+        limits.integer("connections", defaults.maxConnections(), 1, 1_000_000),
+        limits.integer("waiting-bytes", defaults.maxQueuedBytes(), 10_000, 1 << 30),
+        limits.number("connect-within", defaults.connectTimeoutMillis(), 1, 60_000),
+        limits.number("ping-every", defaults.pingIntervalMillis(), 100, HOUR_MILLIS));
   }
 }
--- a/app/src/main/java/coveladder/app/SettingsText.java
+++ b/app/src/main/java/coveladder/app/SettingsText.java
@@ -11,18 +11,24 @@
   /**
    * Settings of one controller.
    *
-   * @param state folder that its calls are kept in
+   * @param stateFolder folder that its calls are kept in
    */
-  static String of(FleetPlan plan, int number, int listen, int ownSwitch, int list, Path state) {
+  static String of(
+      FleetPlan plan,
+      int exchange,
+      int listenPort,
+      int switchPort,
+      int listPort,
+      Path stateFolder) {
     StringBuilder text = new StringBuilder();
     text.append("// Settings of one controller; checked by: coveladder check FILE\n");
-    text.append("listen port=").append(listen).append('\n');
-    text.append("domain \"").append(Fleet.domain(number)).append("\"\n");
-    text.append("exchange number=").append(number).append('\n');
+    text.append("listen port=").append(listenPort).append('\n');
+    text.append("domain \"").append(Fleet.domain(exchange)).append("\"\n");
+    text.append("exchange number=").append(exchange).append('\n');
     text.append("fleet controllers=").append(plan.exchanges()).append('\n');
-    text.append("switch port=").append(ownSwitch).append('\n');
-    text.append("list port=").append(list).append('\n');
-    text.append("state folder=\"").append(state.toAbsolutePath()).append("\"\n");
+    text.append("switch port=").append(switchPort).append('\n');
+    text.append("list port=").append(listPort).append('\n');
+    text.append("state folder=\"").append(stateFolder.toAbsolutePath()).append("\"\n");
     for (FleetPlan.Kind kind : plan.kinds()) {
       text.append("class \"").append(kind.name()).append("\" worth=").append(kind.worth());
       text.append(" late=").append(kind.late()).append(" aim=").append(kind.aim());
@@ -31,6 +37,6 @@
       text.append(" priority=\"").append(kind.priority()).append('"');
       text.append(kind == plan.kinds().get(0) ? " default=#true" : "").append('\n');
     }
-    return text.append("seed value=").append(number + 1).append('\n').toString();
+    return text.append("seed value=").append(exchange + 1).append('\n').toString();
   }
 }
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -37,9 +37,9 @@
     })
 final class StandinCommand implements Callable<Integer> {
   private static final String HOST = "127.0.0.1";
-  private static final int SWITCHES = 10;
-  private static final int CONTROLLERS = 100;
-  private static final int MOST = 64;
+  private static final int SWITCH_PORT_OFFSET = 10;
+  private static final int CONTROLLER_PORT_OFFSET = 100;
+  private static final int MAX_EXCHANGES = 64;
 
   @Spec private CommandSpec spec;
 
@@ -64,15 +64,17 @@
 
   @Override
   public Integer call() throws Exception {
-    if (exchanges < 2 || exchanges > MOST) {
-      spec.commandLine().getErr().println("--exchanges is 2 to " + MOST + ", not " + exchanges);
+    if (exchanges < 2 || exchanges > MAX_EXCHANGES) {
+      spec.commandLine()
+          .getErr()
+          .println("--exchanges is 2 to " + MAX_EXCHANGES + ", not " + exchanges);
       return 2;
     }
     FleetPlan plan = FleetPlan.eight().sized(exchanges, 1);
     PrintWriter out = spec.commandLine().getOut();
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("standins", System.nanoTime(), 100_000)) {
-      raise(sockets, loop, plan);
+      startNodes(sockets, loop, plan);
       loop.start();
       writeSettings(plan, out);
       out.flush();
@@ -81,44 +83,51 @@
     return 0;
   }
 
-  private void raise(Sockets sockets, EventLoop loop, FleetPlan plan) throws IOException {
-    Map<String, Hop> places = new HashMap<>();
-    Map<String, Integer> numbers = new HashMap<>();
-    List<StandinDirectory.Entry> lines = new ArrayList<>();
+  private void startNodes(Sockets sockets, EventLoop loop, FleetPlan plan) throws IOException {
+    Map<String, Hop> switchesByDomain = new HashMap<>();
+    Map<String, Integer> exchangesByDomain = new HashMap<>();
+    List<StandinDirectory.Entry> entries = new ArrayList<>();
     TrunkNetwork trunks = new TrunkNetwork();
     for (int i = 0; i < exchanges; i++) {
-      Hop place = new Hop(Transport.UDP, HOST, basePort + SWITCHES + i);
-      places.put(Fleet.domain(i), place);
-      numbers.put(Fleet.domain(i), i);
-      String address = "sip:" + HOST + ':' + place.port();
+      Hop switchAddress = new Hop(Transport.UDP, HOST, basePort + SWITCH_PORT_OFFSET + i);
+      switchesByDomain.put(Fleet.domain(i), switchAddress);
+      exchangesByDomain.put(Fleet.domain(i), i);
+      String switchUri = "sip:" + HOST + ':' + switchAddress.port();
       String domain = Fleet.domain(i);
-      lines.add(new StandinDirectory.Entry("x" + i + "-0", i, domain, address, "in-service", -1));
+      entries.add(
+          new StandinDirectory.Entry("x" + i + "-0", i, domain, switchUri, "in-service", -1));
       for (int j = i + 1; j < exchanges; j++) {
         trunks.addGroup(i, j, plan.trunk());
       }
     }
-    SocketNode listNode = node(sockets, loop, basePort);
-    StandinDirectory list = new StandinDirectory(listNode, plan.timing(), plan.listLateness());
-    list.addEntries(lines);
-    listNode.start(list);
+    SocketNode directoryNode = node(sockets, loop, basePort);
+    StandinDirectory directory =
+        new StandinDirectory(directoryNode, plan.timing(), plan.listLateness());
+    directory.addEntries(entries);
+    directoryNode.start(directory);
     for (int i = 0; i < exchanges; i++) {
-      SocketNode node = node(sockets, loop, basePort + SWITCHES + i);
-      node.start(new StandinSwitch(node, plan(plan, i, places, numbers), trunks));
+      SocketNode node = node(sockets, loop, basePort + SWITCH_PORT_OFFSET + i);
+      node.start(
+          new StandinSwitch(
+              node, switchConfig(plan, i, switchesByDomain, exchangesByDomain), trunks));
     }
   }
 
-  private SwitchConfig plan(
-      FleetPlan plan, int number, Map<String, Hop> places, Map<String, Integer> numbers) {
-    Map<String, Integer> widths = new HashMap<>();
-    plan.kinds().forEach(kind -> widths.put(kind.priority(), kind.width()));
-    Hop controller = new Hop(Transport.UDP, HOST, basePort + CONTROLLERS + number);
+  private SwitchConfig switchConfig(
+      FleetPlan plan,
+      int exchange,
+      Map<String, Hop> switchesByDomain,
+      Map<String, Integer> exchangesByDomain) {
+    Map<String, Integer> widthsByPriority = new HashMap<>();
+    plan.kinds().forEach(kind -> widthsByPriority.put(kind.priority(), kind.width()));
+    Hop controller = new Hop(Transport.UDP, HOST, basePort + CONTROLLER_PORT_OFFSET + exchange);
     return new SwitchConfig(
-        number,
-        Fleet.domain(number),
+        exchange,
+        Fleet.domain(exchange),
         controller,
-        places,
-        numbers,
-        widths,
+        switchesByDomain,
+        exchangesByDomain,
+        widthsByPriority,
         Map.of(),
         plan.answerAfter(),
         plan.processor(),
@@ -138,13 +147,16 @@
           SettingsText.of(
               plan,
               i,
-              basePort + CONTROLLERS + i,
-              basePort + SWITCHES + i,
+              basePort + CONTROLLER_PORT_OFFSET + i,
+              basePort + SWITCH_PORT_OFFSET + i,
               basePort,
               folder.resolve("state-x" + i)));
       out.printf(
           "%s: switch %d, controller %d, settings %s%n",
-          Fleet.domain(i), basePort + SWITCHES + i, basePort + CONTROLLERS + i, file);
+          Fleet.domain(i),
+          basePort + SWITCH_PORT_OFFSET + i,
+          basePort + CONTROLLER_PORT_OFFSET + i,
+          file);
     }
     out.printf("list server %d; ends after %d minutes%n", basePort, minutes);
   }
--- a/app/src/main/java/coveladder/app/StateCommand.java
+++ b/app/src/main/java/coveladder/app/StateCommand.java
@@ -100,8 +100,8 @@
 
   private static String printable(byte[] octets) {
     String text = new String(octets, StandardCharsets.ISO_8859_1).replace("\r\n", "\n");
-    String bare = text.replaceAll("(?mi)^((proxy-)?authorization *:).*$", "$1 [withheld]");
-    return bare.replaceAll("[^\\x20-\\x7e\\n]", ".");
+    String redacted = text.replaceAll("(?mi)^((proxy-)?authorization *:).*$", "$1 [withheld]");
+    return redacted.replaceAll("[^\\x20-\\x7e\\n]", ".");
   }
 
   @Command(name = "verify", description = "Read every record; status 1 if any is damaged.")
--- a/app/src/main/java/coveladder/app/TakeOver.java
+++ b/app/src/main/java/coveladder/app/TakeOver.java
@@ -19,22 +19,23 @@
  */
 final class TakeOver {
   private static final Logger LOG = LoggerFactory.getLogger(TakeOver.class);
-  private static final long LOOK = 2_000_000;
-  private static final long WITHIN = 10_000_000_000L;
+  private static final long RETRY_INTERVAL_NANOS = 2_000_000;
+  private static final long START_TIMEOUT_NANOS = 10_000_000_000L;
 
   private TakeOver() {}
 
   /** Starts a controller in place of the one that has its state folder, if there is one. */
-  static Daemon from(Settings settings) throws IOException, DiskStore.UnusableFolderException {
+  static Daemon startInPlace(Settings settings)
+      throws IOException, DiskStore.UnusableFolderException {
     warmUp(settings);
-    long released = askToLetGo(settings);
-    if (released == 0) {
+    long releasedNanos = requestHandOver(settings);
+    if (releasedNanos == 0) {
       LOG.info("no controller has the state folder; this is a plain start");
       return new Daemon(settings);
     }
-    Daemon daemon = start(settings);
-    double pause = (System.nanoTime() - released) / 1e6;
-    LOG.info("took over", kv("listeningPauseMillis", Math.round(pause * 10) / 10.0));
+    Daemon daemon = startWithRetries(settings);
+    double pauseMillis = (System.nanoTime() - releasedNanos) / 1e6;
+    LOG.info("took over", kv("listeningPauseMillis", Math.round(pauseMillis * 10) / 10.0));
     return daemon;
   }
 
@@ -46,8 +47,8 @@
       throws IOException, DiskStore.UnusableFolderException {
     Path folder = Files.createTempDirectory("coveladder-warm");
     LogLevel.set("error");
-    try (DatagramSocket nobody = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      new Daemon(settings.elsewhere(folder, nobody.getLocalPort())).close();
+    try (DatagramSocket unusedSocket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      new Daemon(settings.forWarmUp(folder, unusedSocket.getLocalPort())).close();
     } finally {
       LogLevel.set(settings.logLevel());
       try (Stream<Path> files = Files.list(folder)) {
@@ -60,32 +61,32 @@
   }
 
   /** When the other closed its sockets, by the machine's count of time, ns; 0: there is none. */
-  private static long askToLetGo(Settings settings) throws IOException {
-    try (ControlSocket.Line line =
-        ControlSocket.Line.give(settings.state().folder(), "hand-over")) {
-      String told = line == null ? null : line.next();
-      while (told != null) {
-        if (told.startsWith("released ")) {
-          return Long.parseLong(told.substring(9));
+  private static long requestHandOver(Settings settings) throws IOException {
+    try (ControlSocket.Connection connection =
+        ControlSocket.Connection.send(settings.state().folder(), "hand-over")) {
+      String answer = connection == null ? null : connection.readLine();
+      while (answer != null) {
+        if (answer.startsWith("released ")) {
+          return Long.parseLong(answer.substring(9));
         }
-        told = line.next();
+        answer = connection.readLine();
       }
       return 0;
     }
   }
 
   /** The other may still be closing its file: tries until the folder is free. */
-  private static Daemon start(Settings settings)
+  private static Daemon startWithRetries(Settings settings)
       throws IOException, DiskStore.UnusableFolderException {
-    long until = System.nanoTime() + WITHIN;
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT_NANOS;
     while (true) {
       try {
         return new Daemon(settings);
       } catch (DiskStore.UnusableFolderException e) {
-        if (System.nanoTime() > until) {
+        if (System.nanoTime() > deadlineNanos) {
           throw e;
         }
-        LockSupport.parkNanos(LOOK);
+        LockSupport.parkNanos(RETRY_INTERVAL_NANOS);
       }
     }
   }
--- a/app/src/test/java/coveladder/app/CommandLineTest.java
+++ b/app/src/test/java/coveladder/app/CommandLineTest.java
@@ -24,9 +24,9 @@
   }
 
   @Test
-  void checkSaysUsableOrWhatIsWrong() throws IOException {
+  void checkAcceptsValidSettingsAndReportsProblems() throws IOException {
     Path file = folder.resolve("x.kdl");
-    Files.writeString(file, SettingsFileTest.SOUND);
+    Files.writeString(file, SettingsFileTest.VALID);
     assertEquals(0, run("check", file.toString()));
     Files.writeString(file, "what is this");
     assertEquals(2, run("check", file.toString()));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aSimulatedRehearsalEndsWellAndPrintsItsVerdict() {
+  void simulatedRehearsalSucceedsAndPrintsItsVerdict() {
     assertEquals(0, run("rehearse", "small", "--simulated", "--seed", "3"));
     assertTrue(out.toString().contains("all rules hold"), out.toString());
     assertEquals(0, run("rehearse", "small", "--seeds", "3"));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void whatIsUnknownIsRefused() {
+  void unknownArgumentsAreRejected() {
     assertEquals(2, run("rehearse", "no-such-day"));
     assertTrue(out.toString().contains("bad-day"), out.toString());
     assertEquals(2, run("nonsense"));
--- a/app/src/test/java/coveladder/app/DaemonTest.java
+++ b/app/src/test/java/coveladder/app/DaemonTest.java
@@ -27,32 +27,34 @@
 
 /** A controller on sockets whose own switch and list are sockets of the test. */
 class DaemonTest {
-  private static final int TIMEOUT = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   @TempDir private Path folder;
-  private DatagramSocket ownSwitch;
-  private DatagramSocket list;
+  private DatagramSocket localSwitch;
+  private DatagramSocket listServer;
   private DatagramSocket caller;
   private Daemon daemon;
 
   @BeforeEach
   void start() throws Exception {
-    ownSwitch = socket();
-    list = socket();
+    localSwitch = socket();
+    listServer = socket();
     caller = socket();
     String document =
-        SettingsFileTest.SOUND
-                .replace("5070 transport=\"udp\"", ownSwitch.getLocalPort() + " transport=\"udp\"")
-                .replace("5080", list.getLocalPort() + " transport=\"udp\"")
+        SettingsFileTest.VALID
+                .replace(
+                    "5070 transport=\"udp\"", localSwitch.getLocalPort() + " transport=\"udp\"")
+                .replace("5080", listServer.getLocalPort() + " transport=\"udp\"")
             + "metrics port=0\ncalls drain=200\n";
     daemon = new Daemon(SettingsFile.read("x.kdl", document));
   }
 
-  private Settings keeping() throws SettingsFile.Unusable {
+  private Settings settingsWithStateFolder() throws SettingsFile.UnusableSettingsException {
     String document =
-        SettingsFileTest.SOUND
-                .replace("5070 transport=\"udp\"", ownSwitch.getLocalPort() + " transport=\"udp\"")
-                .replace("5080", list.getLocalPort() + " transport=\"udp\"")
+        SettingsFileTest.VALID
+                .replace(
+                    "5070 transport=\"udp\"", localSwitch.getLocalPort() + " transport=\"udp\"")
+                .replace("5080", listServer.getLocalPort() + " transport=\"udp\"")
             + "metrics port=0\ncalls drain=200\nstate folder=\""
             + folder
             + "\" ask-after=0\n";
@@ -60,25 +62,25 @@
   }
 
   /** Another controller among other neighbours, which keeps its calls. */
-  private void again() throws Exception {
+  private void restartWithStateFolder() throws Exception {
     stop();
-    ownSwitch = socket();
-    list = socket();
+    localSwitch = socket();
+    listServer = socket();
     caller = socket();
-    daemon = new Daemon(keeping());
+    daemon = new Daemon(settingsWithStateFolder());
   }
 
   private static DatagramSocket socket() throws IOException {
-    DatagramSocket made = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    made.setSoTimeout(TIMEOUT);
-    return made;
+    DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+    socket.setSoTimeout(TIMEOUT_MILLIS);
+    return socket;
   }
 
   @AfterEach
   void stop() {
     daemon.close();
-    ownSwitch.close();
-    list.close();
+    localSwitch.close();
+    listServer.close();
     caller.close();
   }
 
@@ -89,49 +91,49 @@
   }
 
   /** The next message that begins so; others are passed over. */
-  private static String receive(DatagramSocket at, String begins) throws IOException {
+  private static String receive(DatagramSocket socket, String prefix) throws IOException {
     byte[] octets = new byte[65_536];
     while (true) {
       DatagramPacket packet = new DatagramPacket(octets, octets.length);
-      at.receive(packet);
+      socket.receive(packet);
       String text = new String(octets, 0, packet.getLength(), StandardCharsets.ISO_8859_1);
-      if (text.startsWith(begins)) {
+      if (text.startsWith(prefix)) {
         return text;
       }
     }
   }
 
-  private static String field(String message, String name) {
-    int at = message.indexOf("\r\n" + name + ": ") + name.length() + 4;
-    return message.substring(at, message.indexOf("\r\n", at));
+  private static String header(String message, String name) {
+    int start = message.indexOf("\r\n" + name + ": ") + name.length() + 4;
+    return message.substring(start, message.indexOf("\r\n", start));
   }
 
   /** Gives the controller a list of two exchanges, as the list server would. */
-  private void tellList() throws IOException {
-    String subscribe = receive(list, "SUBSCRIBE");
+  private void sendDirectory() throws IOException {
+    String subscribe = receive(listServer, "SUBSCRIBE");
     String body =
         "{\"full\":true,\"version\":1,\"exchanges\":["
-            + line(0, daemon.port())
+            + directoryEntry(0, daemon.port())
             + ","
-            + line(1, ownSwitch.getLocalPort())
+            + directoryEntry(1, localSwitch.getLocalPort())
             + "]}";
     send(
-        list,
+        listServer,
         "NOTIFY sip:c SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:"
-            + list.getLocalPort()
+            + listServer.getLocalPort()
             + ";branch=z9hG4bKn1\r\nFrom: <sip:list@x>;tag=l\r\nTo: "
-            + field(subscribe, "From")
+            + header(subscribe, "From")
             + "\r\nCall-ID: "
-            + field(subscribe, "Call-ID")
+            + header(subscribe, "Call-ID")
             + "\r\nCSeq: 1 NOTIFY\r\nEvent: exchange-list\r\nSubscription-State: active\r\n"
             + "Content-Length: "
             + body.length()
             + "\r\n\r\n"
             + body);
-    receive(list, "SIP/2.0 200");
+    receive(listServer, "SIP/2.0 200");
   }
 
-  private static String line(int number, int port) {
+  private static String directoryEntry(int number, int port) {
     return "{\"id\":\"e"
         + number
         + "\",\"number\":"
@@ -154,97 +156,98 @@
   }
 
   @Test
-  void shutdownGivesACallInFlightItsOneAnswer() throws Exception {
-    tellList();
+  void shutDownAnswersThePendingCall() throws Exception {
+    sendDirectory();
     invite();
-    String attempt = receive(ownSwitch, "INVITE");
-    assertTrue(attempt.contains("Route: <sip:127.0.0.1:" + ownSwitch.getLocalPort() + ";lr>"));
+    String attempt = receive(localSwitch, "INVITE");
+    assertTrue(attempt.contains("Route: <sip:127.0.0.1:" + localSwitch.getLocalPort() + ";lr>"));
     daemon.shutDown();
     String answer = receive(caller, "SIP/2.0 503");
-    assertEquals("2", field(answer, "Retry-After"));
+    assertEquals("2", header(answer, "Retry-After"));
   }
 
   /** Answers the attempt that came and takes the call's 200 and ACK through. */
-  private String stand() throws IOException {
-    tellList();
+  private String establishCall() throws IOException {
+    sendDirectory();
     invite();
-    String attempt = receive(ownSwitch, "INVITE");
+    String attempt = receive(localSwitch, "INVITE");
     send(
-        ownSwitch,
+        localSwitch,
         "SIP/2.0 200 OK\r\nVia: "
-            + field(attempt, "Via")
+            + header(attempt, "Via")
             + "\r\nFrom: "
-            + field(attempt, "From")
+            + header(attempt, "From")
             + "\r\nTo: "
-            + field(attempt, "To")
+            + header(attempt, "To")
             + ";tag=far\r\nCall-ID: "
-            + field(attempt, "Call-ID")
+            + header(attempt, "Call-ID")
             + "\r\nCSeq: 1 INVITE\r\nContact: <sip:127.0.0.1:"
-            + ownSwitch.getLocalPort()
+            + localSwitch.getLocalPort()
             + ">\r\nContent-Length: 0\r\n\r\n");
     String ok = receive(caller, "SIP/2.0 200");
-    String id = "\r\nTo: " + field(ok, "To") + "\r\nCall-ID: d1\r\nCSeq: 1 ACK\r\n\r\n";
+    String dialogHeaders = "\r\nTo: " + header(ok, "To") + "\r\nCall-ID: d1\r\nCSeq: 1 ACK\r\n\r\n";
     send(
         caller,
         "ACK sip:5551@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:"
             + caller.getLocalPort()
             + ";branch=z9hG4bKa1\r\nFrom: <sip:m@h>;tag=m"
-            + id);
-    receive(ownSwitch, "ACK");
-    return field(attempt, "Call-ID");
+            + dialogHeaders);
+    receive(localSwitch, "ACK");
+    return header(attempt, "Call-ID");
   }
 
   private static List<String> handOver(Path folder) throws IOException {
-    List<String> told = new ArrayList<>();
-    try (ControlSocket.Line line = ControlSocket.Line.give(folder, "hand-over")) {
-      for (String next = line.next(); next != null; next = line.next()) {
-        told.add(next);
+    List<String> answers = new ArrayList<>();
+    try (ControlSocket.Connection connection = ControlSocket.Connection.send(folder, "hand-over")) {
+      for (String line = connection.readLine(); line != null; line = connection.readLine()) {
+        answers.add(line);
       }
     }
-    return told;
+    return answers;
   }
 
   @Test
-  void aCallIsHandedOverAndTheNextControllerAsksAfterIt() throws Exception {
-    again();
-    String callId = stand();
-    assertThrows(DiskStore.UnusableFolderException.class, () -> new Daemon(keeping()));
-    List<String> told = handOver(folder);
-    assertEquals("draining", told.get(0));
-    assertTrue(told.get(1).startsWith("released "), told.toString());
-    assertNull(ControlSocket.Line.give(folder, "hand-over"));
+  void callIsHandedOverAndVerifiedByTheNextController() throws Exception {
+    restartWithStateFolder();
+    String callId = establishCall();
+    assertThrows(
+        DiskStore.UnusableFolderException.class, () -> new Daemon(settingsWithStateFolder()));
+    List<String> answers = handOver(folder);
+    assertEquals("draining", answers.get(0));
+    assertTrue(answers.get(1).startsWith("released "), answers.toString());
+    assertNull(ControlSocket.Connection.send(folder, "hand-over"));
     StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
     assertEquals(Phase.STANDS, contents.calls().get(0).phase());
-    daemon.awaitEnd();
-    daemon = TakeOver.from(keeping());
-    String asked = receive(ownSwitch, "OPTIONS");
-    assertEquals(callId, field(asked, "Call-ID"));
+    daemon.awaitTermination();
+    daemon = TakeOver.startInPlace(settingsWithStateFolder());
+    String options = receive(localSwitch, "OPTIONS");
+    assertEquals(callId, header(options, "Call-ID"));
   }
 
   @Test
-  void anOrderThatIsUnknownIsAnsweredWithThoseThereAre() throws Exception {
-    again();
-    try (ControlSocket.Line line = ControlSocket.Line.give(folder, "nonsense")) {
-      assertEquals("unknown order; there are hand-over", line.next());
-      assertNull(line.next());
+  void unknownControlCommandIsAnsweredWithTheKnownOnes() throws Exception {
+    restartWithStateFolder();
+    try (ControlSocket.Connection connection = ControlSocket.Connection.send(folder, "nonsense")) {
+      assertEquals("unknown order; there are hand-over", connection.readLine());
+      assertNull(connection.readLine());
     }
   }
 
   @Test
-  void beforeTheListIsKnownCallsAreToldWhenToComeBack() throws IOException {
+  void callsBeforeTheFirstDirectoryGetRetryAfter() throws IOException {
     invite();
-    assertEquals("2", field(receive(caller, "SIP/2.0 503"), "Retry-After"));
+    assertEquals("2", header(receive(caller, "SIP/2.0 503"), "Retry-After"));
   }
 
   @Test
-  void metricsAreReadOverHttp() throws Exception {
-    tellList();
+  void metricsAreServedOverHttp() throws Exception {
+    sendDirectory();
     invite();
-    receive(ownSwitch, "INVITE");
-    URI at = URI.create("http://127.0.0.1:" + daemon.metricsPort() + "/metrics");
+    receive(localSwitch, "INVITE");
+    URI metricsUri = URI.create("http://127.0.0.1:" + daemon.metricsPort() + "/metrics");
     HttpResponse<String> response =
         HttpClient.newHttpClient()
-            .send(HttpRequest.newBuilder(at).build(), HttpResponse.BodyHandlers.ofString());
+            .send(HttpRequest.newBuilder(metricsUri).build(), HttpResponse.BodyHandlers.ofString());
     assertTrue(response.body().contains("coveladder_calls_total{class=\"score-check\"} 1.0"));
   }
 
@@ -256,6 +259,6 @@
             + caller.getLocalPort()
             + ";branch=z9hG4bKo\r\nFrom: <sip:m@h>;tag=m\r\nTo: <sip:x0.example>\r\n"
             + "Call-ID: o1\r\nCSeq: 1 OPTIONS\r\n\r\n");
-    assertTrue(field(receive(caller, "SIP/2.0 200"), "Allow").contains("INVITE"));
+    assertTrue(header(receive(caller, "SIP/2.0 200"), "Allow").contains("INVITE"));
   }
 }
--- a/app/src/test/java/coveladder/app/StateCommandTest.java
+++ b/app/src/test/java/coveladder/app/StateCommandTest.java
@@ -52,7 +52,7 @@
   }
 
   @BeforeEach
-  void fill() throws Exception {
+  void storeTwoCalls() throws Exception {
     try (DiskStore store = new DiskStore(folder, Runnable::run)) {
       store.put(saved("a-1", Phase.STANDS));
       store.put(saved("a-2", Phase.SETTING_UP));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void listShowAndVerifySayWhatIsThere() {
+  void listShowAndVerifyPrintTheStoredCalls() {
     assertEquals(0, run("list", folder.toString()));
     assertTrue(out.toString().contains("2 calls {SETTING_UP=1, STANDS=1}"), out.toString());
     assertEquals(0, run("show", folder.toString(), "a-1"));
@@ -72,14 +72,14 @@
   }
 
   @Test
-  void noSecretIsShown() {
+  void credentialsAreWithheld() {
     run("show", folder.toString(), "a-1");
     assertTrue(out.toString().contains("Authorization: [withheld]"), out.toString());
     assertFalse(out.toString().contains("Digest"), out.toString());
   }
 
   @Test
-  void exportIsJsonLines() throws Exception {
+  void exportPrintsJsonLines() throws Exception {
     assertEquals(0, run("export", folder.toString()));
     String[] lines = out.toString().split("\n");
     assertEquals(2, lines.length);
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void aFolderInUseIsReadButNotCompacted() throws Exception {
+  void folderInUseCanBeReadButNotCompacted() throws Exception {
     try (DiskStore store = new DiskStore(folder, Runnable::run)) {
       store.put(saved("a-3", Phase.STANDS));
       sync(store);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void whatIsNoStateFolderIsRefused() throws Exception {
+  void missingFolderAndMissingInStepFileAreReported() throws Exception {
     assertEquals(2, run("list", folder.resolve("none").toString()));
     assertTrue(out.toString().contains("no such file"), out.toString());
     Files.delete(folder.resolve("in-step"));
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -38,34 +38,36 @@
     callee = new JainPeer("callee", transport);
     sockets = new Sockets(1);
     loop = new EventLoop("standins", System.nanoTime(), 10_000);
-    SocketNode listNode = node();
+    SocketNode directoryNode = node();
     SocketNode switchNode = node();
     int controllerPort = freePort();
     FleetPlan plan = FleetPlan.eight().sized(2, 1);
-    Transport by = Transport.fromName(transport);
-    Hop calleePlace = new Hop(by, HOST, callee.port());
-    StandinDirectory list = new StandinDirectory(listNode, plan.timing(), 10);
-    list.addEntries(List.of(line(0, switchNode.port()), line(1, callee.port())));
+    Transport calleeTransport = Transport.fromName(transport);
+    Hop calleeAddress = new Hop(calleeTransport, HOST, callee.port());
+    StandinDirectory directory = new StandinDirectory(directoryNode, plan.timing(), 10);
+    directory.addEntries(
+        List.of(directoryEntry(0, switchNode.port()), directoryEntry(1, callee.port())));
     TrunkNetwork trunks = new TrunkNetwork();
     trunks.addGroup(0, 1, 10);
-    SwitchConfig switchPlan =
+    SwitchConfig switchConfig =
         new SwitchConfig(
             0,
             "x0.example",
             new Hop(Transport.UDP, HOST, controllerPort),
-            Map.of("x0.example", switchNode.localHop(Transport.UDP), "x1.example", calleePlace),
+            Map.of("x0.example", switchNode.localHop(Transport.UDP), "x1.example", calleeAddress),
             Map.of("x0.example", 0, "x1.example", 1),
             Map.of(),
             Map.of(),
             10,
             plan.processor(),
             plan.timing());
-    listNode.start(list);
-    switchNode.start(new StandinSwitch(switchNode, switchPlan, trunks));
+    directoryNode.start(directory);
+    switchNode.start(new StandinSwitch(switchNode, switchConfig, trunks));
     loop.start();
     daemon =
-        new Daemon(SettingsFile.read("x0.kdl", settings(controllerPort, listNode, switchNode)));
-    awaitList();
+        new Daemon(
+            SettingsFile.read("x0.kdl", settings(controllerPort, directoryNode, switchNode)));
+    awaitDirectory();
   }
 
   private SocketNode node() throws Exception {
@@ -78,35 +80,35 @@
     }
   }
 
-  private static StandinDirectory.Entry line(int number, int port) {
+  private static StandinDirectory.Entry directoryEntry(int number, int port) {
     String domain = "x" + number + ".example";
     return new StandinDirectory.Entry(
         "e" + number, number, domain, "sip:" + HOST + ':' + port, "in-service", -1);
   }
 
-  private static String settings(int port, SocketNode list, SocketNode ownSwitch) {
+  private static String settings(int port, SocketNode directoryNode, SocketNode switchNode) {
     return "listen port="
         + port
         + "\ndomain \"x0.example\"\nexchange number=0\nfleet controllers=2\nswitch port="
-        + ownSwitch.port()
+        + switchNode.port()
         + "\nlist port="
-        + list.port()
+        + directoryNode.port()
         + "\nclass \"plain\" aim=4000 give-up=9000 hold=5000 default=#true\n";
   }
 
   /** Calls before the first list are put off; the telephone tries until one is not. */
-  private void awaitList() throws Exception {
+  private void awaitDirectory() throws Exception {
     String answer;
-    callee.answers(486);
+    callee.answerWith(486);
     do {
       caller.call("5551234", "x1.example", daemon.port());
-      answer = caller.next();
+      answer = caller.nextEvent();
     } while (answer.startsWith("503"));
     while (!answer.startsWith("486")) {
-      answer = caller.next();
+      answer = caller.nextEvent();
     }
-    assertEquals("INVITE", callee.next());
-    callee.answers(200);
+    assertEquals("INVITE", callee.nextEvent());
+    callee.answerWith(200);
   }
 
   @AfterEach
@@ -118,61 +120,61 @@
     sockets.close();
   }
 
-  private void standingCall() throws Exception {
+  private void establishCall() throws Exception {
     caller.call("5551235", "x1.example", daemon.port());
-    assertEquals("INVITE", callee.next());
-    assertEquals("200 INVITE", caller.next());
-    assertEquals("ACK", callee.next());
+    assertEquals("INVITE", callee.nextEvent());
+    assertEquals("200 INVITE", caller.nextEvent());
+    assertEquals("ACK", callee.nextEvent());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"udp", "tcp"})
-  void aCallReleasedByTheCaller(String transport) throws Exception {
+  void callerReleasesTheCall(String transport) throws Exception {
     start(transport);
-    standingCall();
+    establishCall();
     caller.bye();
-    assertEquals("200 BYE", caller.next());
-    assertEquals("BYE", callee.next());
+    assertEquals("200 BYE", caller.nextEvent());
+    assertEquals("BYE", callee.nextEvent());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"udp", "tcp"})
-  void aCallReleasedByTheCallee(String transport) throws Exception {
+  void calleeReleasesTheCall(String transport) throws Exception {
     start(transport);
-    standingCall();
+    establishCall();
     callee.bye();
-    assertEquals("200 BYE", callee.next());
-    assertEquals("BYE", caller.next());
+    assertEquals("200 BYE", callee.nextEvent());
+    assertEquals("BYE", caller.nextEvent());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"udp", "tcp"})
-  void aCallCancelledWhileItRings(String transport) throws Exception {
+  void callerCancelsWhileTheCalleeRings(String transport) throws Exception {
     start(transport);
-    callee.answers(180);
+    callee.answerWith(180);
     caller.call("5551236", "x1.example", daemon.port());
-    assertEquals("INVITE", callee.next());
-    assertTrue(caller.rings());
+    assertEquals("INVITE", callee.nextEvent());
+    assertTrue(caller.awaitRinging());
     caller.cancel();
-    assertEquals("200 CANCEL", caller.next());
-    assertEquals("487 INVITE", caller.next());
-    assertEquals("CANCEL", callee.next());
+    assertEquals("200 CANCEL", caller.nextEvent());
+    assertEquals("487 INVITE", caller.nextEvent());
+    assertEquals("CANCEL", callee.nextEvent());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"udp", "tcp"})
-  void aReinviteFromEitherSide(String transport) throws Exception {
+  void bothSidesSendReinvites(String transport) throws Exception {
     start(transport);
-    standingCall();
+    establishCall();
     caller.reinvite();
-    assertEquals("re-INVITE", callee.next());
-    assertEquals("200 INVITE", caller.next());
-    assertEquals("ACK", callee.next());
+    assertEquals("re-INVITE", callee.nextEvent());
+    assertEquals("200 INVITE", caller.nextEvent());
+    assertEquals("ACK", callee.nextEvent());
     callee.reinvite();
-    assertEquals("re-INVITE", caller.next());
-    assertEquals("200 INVITE", callee.next());
-    assertEquals("ACK", caller.next());
+    assertEquals("re-INVITE", caller.nextEvent());
+    assertEquals("200 INVITE", callee.nextEvent());
+    assertEquals("ACK", caller.nextEvent());
     caller.bye();
-    assertEquals("200 BYE", caller.next());
+    assertEquals("200 BYE", caller.nextEvent());
   }
 }
--- a/app/src/test/java/coveladder/interop/JainPeer.java
+++ b/app/src/test/java/coveladder/interop/JainPeer.java
@@ -48,10 +48,10 @@
   private final MessageFactory messages;
   private final String transport;
   private final int port;
-  private volatile ClientTransaction invite;
+  private volatile ClientTransaction outgoingInvite;
   private volatile Dialog dialog;
-  private volatile ServerTransaction taken;
-  private volatile int answer = 200;
+  private volatile ServerTransaction incomingInvite;
+  private volatile int answerStatus = 200;
 
   /** Starts a telephone on any free port. */
   JainPeer(String name, String transport) throws Exception {
@@ -82,12 +82,12 @@
   }
 
   /** The status with which it answers INVITEs; 180 rings and answers no more. */
-  void answers(int status) {
-    answer = status;
+  void answerWith(int status) {
+    answerStatus = status;
   }
 
   /** The next thing that happened but for ringing, which may overtake or be overtaken. */
-  String next() throws InterruptedException {
+  String nextEvent() throws InterruptedException {
     String event;
     do {
       event = events.poll(10, TimeUnit.SECONDS);
@@ -96,7 +96,7 @@
   }
 
   /** Waits until the other side rings; whether it did. */
-  boolean rings() throws InterruptedException {
+  boolean awaitRinging() throws InterruptedException {
     return RINGING.equals(events.poll(10, TimeUnit.SECONDS));
   }
 
@@ -125,9 +125,9 @@
     request.addHeader(headers.createContactHeader(addresses.createAddress(contact())));
     request.addHeader(headers.createExpiresHeader(8));
     request.setContent(SDP, headers.createContentTypeHeader("application", "sdp"));
-    invite = provider.getNewClientTransaction(request);
-    dialog = invite.getDialog();
-    invite.sendRequest();
+    outgoingInvite = provider.getNewClientTransaction(request);
+    dialog = outgoingInvite.getDialog();
+    outgoingInvite.sendRequest();
   }
 
   private SipURI contact() throws Exception {
@@ -138,7 +138,7 @@
   }
 
   void cancel() throws SipException {
-    provider.getNewClientTransaction(invite.createCancel()).sendRequest();
+    provider.getNewClientTransaction(outgoingInvite.createCancel()).sendRequest();
   }
 
   // ---- Within a call ------------------------------------------------------------------------
@@ -149,9 +149,9 @@
   }
 
   void reinvite() throws Exception {
-    Request again = dialog.createRequest(Request.INVITE);
-    again.setContent(SDP, headers.createContentTypeHeader("application", "sdp"));
-    dialog.sendRequest(provider.getNewClientTransaction(again));
+    Request request = dialog.createRequest(Request.INVITE);
+    request.setContent(SDP, headers.createContentTypeHeader("application", "sdp"));
+    dialog.sendRequest(provider.getNewClientTransaction(request));
   }
 
   @Override
@@ -176,9 +176,9 @@
     Request request = event.getRequest();
     try {
       switch (request.getMethod()) {
-        case Request.INVITE -> invited(event);
-        case Request.CANCEL -> cancelled(event);
-        case Request.BYE -> event.getServerTransaction().sendResponse(respond(request, 200));
+        case Request.INVITE -> handleInvite(event);
+        case Request.CANCEL -> handleCancel(event);
+        case Request.BYE -> event.getServerTransaction().sendResponse(createResponse(request, 200));
         default -> {}
       }
       if (!request.getMethod().equals(Request.INVITE)) {
@@ -189,21 +189,22 @@
     }
   }
 
-  private void invited(RequestEvent event) throws Exception {
+  private void handleInvite(RequestEvent event) throws Exception {
     Request request = event.getRequest();
-    boolean again = event.getServerTransaction() != null;
-    taken = again ? event.getServerTransaction() : provider.getNewServerTransaction(request);
-    dialog = taken.getDialog();
-    events.add(again ? "re-INVITE" : "INVITE");
-    if (!again) {
-      taken.sendResponse(respond(request, 180));
+    boolean isReinvite = event.getServerTransaction() != null;
+    incomingInvite =
+        isReinvite ? event.getServerTransaction() : provider.getNewServerTransaction(request);
+    dialog = incomingInvite.getDialog();
+    events.add(isReinvite ? "re-INVITE" : "INVITE");
+    if (!isReinvite) {
+      incomingInvite.sendResponse(createResponse(request, 180));
     }
-    if (answer != 180) {
-      taken.sendResponse(respond(request, answer));
+    if (answerStatus != 180) {
+      incomingInvite.sendResponse(createResponse(request, answerStatus));
     }
   }
 
-  private Response respond(Request request, int status) throws Exception {
+  private Response createResponse(Request request, int status) throws Exception {
     Response response = messages.createResponse(status, request);
     ToHeader to = (ToHeader) response.getHeader(ToHeader.NAME);
     if (to.getTag() == null) {
@@ -218,9 +219,9 @@
     return response;
   }
 
-  private void cancelled(RequestEvent event) throws Exception {
-    event.getServerTransaction().sendResponse(respond(event.getRequest(), 200));
-    taken.sendResponse(respond(taken.getRequest(), 487));
+  private void handleCancel(RequestEvent event) throws Exception {
+    event.getServerTransaction().sendResponse(createResponse(event.getRequest(), 200));
+    incomingInvite.sendResponse(createResponse(incomingInvite.getRequest(), 487));
   }
 
   @Override
--- a/app/src/test/java/coveladder/shape/BoundariesTest.java
+++ b/app/src/test/java/coveladder/shape/BoundariesTest.java
@@ -11,12 +11,12 @@
 
 /** The boundaries of docs/architecture.md. */
 class BoundariesTest {
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("coveladder");
 
-  private static final String[] FREE_OF_IO = {
+  private static final String[] IO_FREE_PACKAGES = {
     "coveladder",
     "coveladder.core..",
     "coveladder.sip",
@@ -27,45 +27,47 @@
     "coveladder.isupfront.."
   };
 
-  private static ArchRule noUseOf(String... packages) {
+  private static ArchRule ioFreePackagesDoNotUse(String... packages) {
     return noClasses()
         .that()
-        .resideInAnyPackage(FREE_OF_IO)
+        .resideInAnyPackage(IO_FREE_PACKAGES)
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(packages);
   }
 
   @Test
-  void theHeartOpensNoSocketAndStartsNoThread() {
-    noUseOf("java.net..", "java.nio.channels..", "java.nio.file..", "java.util.concurrent..")
-        .check(ALL);
-    noUseOf("org.glassfish..", "org.slf4j..", "io.micrometer..", "picocli..").check(ALL);
+  void ioFreePackagesUseNoSocketsFilesOrThreads() {
+    ioFreePackagesDoNotUse(
+            "java.net..", "java.nio.channels..", "java.nio.file..", "java.util.concurrent..")
+        .check(PRODUCTION_CLASSES);
+    ioFreePackagesDoNotUse("org.glassfish..", "org.slf4j..", "io.micrometer..", "picocli..")
+        .check(PRODUCTION_CLASSES);
     noClasses()
         .that()
-        .resideInAnyPackage(FREE_OF_IO)
+        .resideInAnyPackage(IO_FREE_PACKAGES)
         .should()
         .dependOnClassesThat()
         .belongToAnyOf(Thread.class, java.util.Timer.class, java.util.Random.class)
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theHeartReadsNoClock() {
+  void ioFreePackagesReadNoClockOrRandomNumber() {
     noClasses()
         .that()
-        .resideInAnyPackage(FREE_OF_IO)
+        .resideInAnyPackage(IO_FREE_PACKAGES)
         .should()
         .callMethod(System.class, "nanoTime")
         .orShould()
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
         .callMethod(Math.class, "random")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void nothingOfSipIsInTheCore() {
+  void coreDoesNotDependOnProtocols() {
     noClasses()
         .that()
         .resideInAPackage("coveladder.core..")
@@ -77,11 +79,11 @@
             "coveladder.isup..",
             "coveladder.isupfront..",
             "coveladder.wire..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void thePlatformsFrontKnowsNothingOfSip() {
+  void isupFrontEndDoesNotDependOnSip() {
     noClasses()
         .that()
         .resideInAnyPackage("coveladder.isup..", "coveladder.isupfront..", "coveladder.serve..")
@@ -89,22 +91,22 @@
         .dependOnClassesThat()
         .resideInAnyPackage(
             "coveladder.sip..", "coveladder.sipfront..", "coveladder.app..", "coveladder.store..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theCodecsKnowNothingOfTheCore() {
+  void isupCodecsDoNotDependOnTheCore() {
     noClasses()
         .that()
         .resideInAPackage("coveladder.isup..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("coveladder", "coveladder.core..", "coveladder.wire..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void whatBothFrontsUseOfTheNetworkKnowsNothingOfSip() {
+  void sharedNetworkClassesDoNotDependOnSip() {
     noClasses()
         .that()
         .resideInAPackage("coveladder.net..")
@@ -113,11 +115,11 @@
         .should()
         .dependOnClassesThat()
         .resideInAPackage("coveladder.sip..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theCheckerSharesNoCodeWithTheControllers() {
+  void checkerSharesNoCodeWithControllers() {
     noClasses()
         .that()
         .haveSimpleName("Checker")
@@ -128,11 +130,11 @@
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("coveladder", "coveladder.core..", "coveladder.sipfront..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theRulesCanFail() {
+  void violationsAreDetected() {
     ArchRule broken =
         noClasses()
             .that()
@@ -140,6 +142,6 @@
             .should()
             .dependOnClassesThat()
             .resideInAPackage("java.net..");
-    assertThrows(AssertionError.class, () -> broken.check(ALL));
+    assertThrows(AssertionError.class, () -> broken.check(PRODUCTION_CLASSES));
   }
 }
