--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -27,12 +27,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes one call through a running controller and prints what comes of it, hop by hop. */
+/** Makes one call through a running controller and prints its messages with their hops. */
 @Command(
     name = "call",
     description = {
       "Make one call through a running controller and print it hop by hop.",
-      "Exit status 0 if it stood."
+      "Exit status 0 if it was established."
     })
 final class CallCommand implements Callable<Integer> {
   private static final String SDP =
@@ -41,26 +41,32 @@
 
   @Spec private CommandSpec spec;
 
-  @Parameters(paramLabel = "URI", description = "who is called, such as sip:5551234@x1.example")
+  @Parameters(paramLabel = "URI", description = "the called party, such as sip:5551234@x1.example")
   private String uri;
 
   @Option(
       names = "--via",
       defaultValue = "127.0.0.1:5060",
       paramLabel = "HOST:PORT",
-      description = "the controller (${DEFAULT-VALUE})")
+      description = "address of the controller (${DEFAULT-VALUE})")
   private String via;
 
-  @Option(names = "--tcp", description = "by TCP instead of UDP")
+  @Option(names = "--tcp", description = "use TCP instead of UDP")
   private boolean tcp;
 
-  @Option(names = "--priority", defaultValue = "", description = "Resource-Priority, its class")
+  @Option(
+      names = "--priority",
+      defaultValue = "",
+      description = "Resource-Priority, which determines the class")
   private String priority;
 
-  @Option(names = "--patience", defaultValue = "5", description = "seconds (${DEFAULT-VALUE})")
+  @Option(
+      names = "--patience",
+      defaultValue = "5",
+      description = "seconds until the caller abandons the call (${DEFAULT-VALUE})")
   private int patience;
 
-  @Option(names = "--hold", defaultValue = "1", description = "seconds that it lasts")
+  @Option(names = "--hold", defaultValue = "1", description = "seconds from the answer to the BYE")
   private int hold;
 
   @Override
@@ -85,7 +91,7 @@
     }
   }
 
-  /** The caller. */
+  /** The SIP endpoint that makes the call. */
   private final class TestCall extends AbstractSipNode implements CallListener {
     private final SipHost host;
     private final Hop controller;
--- a/app/src/main/java/coveladder/app/CallLog.java
+++ b/app/src/main/java/coveladder/app/CallLog.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes each step of each call to the log, with call and attempt ids, and counts it. Numbers
- * called are not written: they may be somebody's.
+ * Logs each step of each call, with call and attempt ids, and counts it in the metrics. Called
+ * numbers are not logged, since they may be personal data.
  */
 final class CallLog implements CallController.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("coveladder.calls");
--- a/app/src/main/java/coveladder/app/CheckCommand.java
+++ b/app/src/main/java/coveladder/app/CheckCommand.java
@@ -8,11 +8,13 @@
 import picocli.CommandLine.Spec;
 
 /** Checks a settings file. */
-@Command(name = "check", description = "Check a settings file; name each problem with its place.")
+@Command(
+    name = "check",
+    description = "Check a settings file; report each problem with its position.")
 final class CheckCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
-  @Parameters(paramLabel = "FILE", description = "settings, a KDL document")
+  @Parameters(paramLabel = "FILE", description = "settings file, a KDL document")
   private Path file;
 
   @Override
--- a/app/src/main/java/coveladder/app/ControlSocket.java
+++ b/app/src/main/java/coveladder/app/ControlSocket.java
@@ -23,8 +23,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where staff speak to a running controller: a Unix domain socket in its state folder that only its
- * own user may open. One line is one order; what is answered ends with the connection.
+ * The administrative interface of a running controller: a Unix domain socket in its state folder
+ * that only the controller's user may open. A connection carries one command line and the lines of
+ * its answer, and is then closed.
  */
 final class ControlSocket implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControlSocket.class);
@@ -40,13 +41,17 @@
       Executors.newScheduledThreadPool(MAX_CONNECTIONS + 1);
   private volatile boolean open = true;
 
-  /** Carries out one order and prints what comes of it. */
+  /** Executes one command. */
   interface CommandHandler {
-    /** Does it. */
+    /**
+     * Executes the command.
+     *
+     * @param answers receives the lines of the answer
+     */
     void carryOut(PrintWriter answers) throws InterruptedException;
   }
 
-  /** Listens in a folder, which this process has to itself. */
+  /** Listens in a state folder, which this process has locked. */
   ControlSocket(Path folder) throws IOException {
     socketPath = socketPath(folder);
     Files.deleteIfExists(socketPath);
@@ -67,7 +72,7 @@
     return path;
   }
 
-  /** Names what carries out an order. */
+  /** Registers the handler of a command. */
   void serve(String name, CommandHandler handler) {
     handlers.put(name, handler);
   }
@@ -116,7 +121,7 @@
     }
   }
 
-  /** Takes no more orders; one that is being carried out goes on. */
+  /** Accepts no more commands; those in progress continue. */
   @Override
   public void close() {
     open = false;
@@ -129,7 +134,7 @@
     executor.shutdown();
   }
 
-  /** A connection to the controller that has a folder. */
+  /** A connection to the controller that uses a state folder. */
   static final class Connection implements AutoCloseable {
     private final SocketChannel channel;
     private final BufferedReader in;
@@ -141,7 +146,7 @@
               new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8));
     }
 
-    /** Gives one order; null where no controller has the folder. */
+    /** Sends one command; returns null if no controller uses the folder. */
     static Connection send(Path folder, String command) throws IOException {
       if (!Files.exists(socketPath(folder))) {
         return null;
@@ -158,7 +163,7 @@
       return new Connection(channel);
     }
 
-    /** The next line of the answer; null at its end. */
+    /** Returns the next line of the answer; null at its end. */
     String readLine() throws IOException {
       return in.readLine();
     }
--- a/app/src/main/java/coveladder/app/ControllerProcess.java
+++ b/app/src/main/java/coveladder/app/ControllerProcess.java
@@ -11,7 +11,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A controller as a process of this machine, for rehearsals: started, killed, taken over. */
+/** A controller process on this host, which a rehearsal starts, kills and has taken over. */
 final class ControllerProcess {
   private static final Pattern LISTENING_PAUSE =
       Pattern.compile("\"listeningPauseMillis\":([0-9.]+)");
@@ -28,17 +28,20 @@
     this.log = log;
   }
 
-  /** Starts it. */
+  /** Starts the process. */
   void launch() throws IOException {
     launch(List.of());
   }
 
-  /** Waits until it listens. */
+  /** Waits until the controller listens. */
   void awaitReady() throws IOException, InterruptedException {
     awaitLine(log(startCount), "controller runs");
   }
 
-  /** Starts another in its place, which takes its calls over; the pause in listening, ms. */
+  /**
+   * Starts a new process that takes over the calls of this one, and waits until this one has ended.
+   * Returns how long neither of them was listening, ms.
+   */
   double takeOver() throws IOException, InterruptedException {
     Process predecessor = process;
     launch(List.of("--take-over"));
@@ -48,7 +51,7 @@
     return pause.find() ? Double.parseDouble(pause.group(1)) : Double.NaN;
   }
 
-  /** Ends it at once, by SIGKILL. */
+  /** Kills the process by SIGKILL and waits until it has ended. */
   void kill() throws InterruptedException {
     process.destroyForcibly();
     process.waitFor(START_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -83,7 +86,7 @@
     throw new IOException("a controller did not start; its log: " + file);
   }
 
-  /** Errors in its logs, such as events that failed. */
+  /** The errors and uncaught exceptions in the logs of all its starts. */
   List<String> errors() throws IOException {
     List<String> errors = new ArrayList<>();
     for (int i = 1; i <= startCount; i++) {
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -28,7 +28,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller as a process: sockets, loop, metrics, and an orderly end. */
+/**
+ * A controller with its sockets, event loop, state store, control socket and metrics. It ends by a
+ * shutdown or by handing its calls over to another process.
+ */
 public final class Daemon implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
   private static final int MAX_QUEUED_TASKS = 100_000;
@@ -51,7 +54,7 @@
   private boolean shuttingDown;
   private volatile boolean handedOver;
 
-  /** Opens what is kept, binds everything and begins to take calls. */
+  /** Opens the state store if there is one, binds all sockets and starts to accept calls. */
   public Daemon(Settings settings) throws IOException, DiskStore.UnusableFolderException {
     this.settings = settings;
     loop = new EventLoop("controller", System.nanoTime(), MAX_QUEUED_TASKS);
@@ -146,7 +149,7 @@
         .register(meterRegistry);
   }
 
-  /** Says what a start found, and once more when all of it is settled. */
+  /** Logs what the start found in the state folder, and later that recovery is complete. */
   private void logRecoveryStart() {
     Recovery recovery = front.recovery();
     LOG.info(
@@ -207,17 +210,17 @@
         .register(meterRegistry);
   }
 
-  /** The port that it listens on. */
+  /** The port on which the controller listens for signalling. */
   public int port() {
     return node.port();
   }
 
-  /** The port of its metrics; -1 if there are none. */
+  /** The port on which metrics are served; -1 if they are not served. */
   public int metricsPort() {
     return metricsServer == null ? -1 : metricsServer.getAddress().getPort();
   }
 
-  /** Takes new settings as far as they can change in service; says what cannot. */
+  /** Applies the settings that can change in service; returns the names of changed others. */
   public List<String> reload(Settings newSettings) {
     List<String> unchangedSettings = settings.changesNeedingRestart(newSettings);
     loop.offer(() -> front.reload(newSettings.frontSettings()));
@@ -232,8 +235,9 @@
   }
 
   /**
-   * Ends: takes nothing new, answers each call in flight, waits for the attempts that are called
-   * off, then releases what stands. Returns once all is done, within the drain time and a little.
+   * Shuts down: refuses new calls, answers each pending call, waits for its cancelled attempts to
+   * end and then releases the established calls. Waits at most for the drain timeout and three
+   * times the BYE timeout.
    */
   public void shutDown() throws InterruptedException {
     if (handedOver) {
@@ -250,9 +254,9 @@
   }
 
   /**
-   * Leaves all that stands to another process: takes nothing new, lets set-ups in flight come to
-   * their end within the drain time, closes all sockets and says so. What is still in flight then
-   * is found by the other process as after a kill.
+   * Hands the established calls over to another process: refuses new calls, lets pending set-ups
+   * end within the drain timeout, closes all signalling sockets and reports that. Set-ups that are
+   * still pending then are recovered by the other process as after a kill.
    */
   private void handOver(PrintWriter answers) throws InterruptedException {
     answers.println("draining");
@@ -282,7 +286,7 @@
     }
   }
 
-  /** Waits until this process was asked to end or has handed over. */
+  /** Waits until the controller has shut down or has handed its calls over. */
   public void awaitTermination() throws InterruptedException {
     terminated.await();
   }
@@ -312,7 +316,7 @@
     closeAllButNode();
   }
 
-  /** The store closes while the loop runs: those who wait for the disk are told there. */
+  /** Closes the store before the loop, since the callbacks of pending writes run on the loop. */
   private void closeAllButNode() {
     if (controlSocket != null) {
       controlSocket.close();
--- a/app/src/main/java/coveladder/app/LogLevel.java
+++ b/app/src/main/java/coveladder/app/LogLevel.java
@@ -4,7 +4,7 @@
 import ch.qos.logback.classic.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The least level that is logged. */
+/** Sets the lowest level that is logged. */
 final class LogLevel {
   private LogLevel() {}
 
--- a/app/src/main/java/coveladder/app/Main.java
+++ b/app/src/main/java/coveladder/app/Main.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 
-/** The program. */
+/** The command line program. */
 @Command(
     name = "coveladder",
     mixinStandardHelpOptions = true,
     versionProvider = Main.Version.class,
-    description = "A call router over trunk groups, with a rehearsal kit.",
+    description = "A call router over trunk groups, with rehearsals on stand-in exchanges.",
     subcommands = {
       RunCommand.class,
       CheckCommand.class,
@@ -26,7 +26,7 @@
 
   private Main() {}
 
-  /** Runs the program and exits with its status: 0 well, 1 failed, 2 wrongly asked. */
+  /** Runs the program and exits with its status: 0 success, 1 failure, 2 usage error. */
   public static void main(String[] arguments) {
     if (arguments.length == 1 && arguments[0].equals("serve")) {
       System.exit(Serve.run(System.getenv("RELAY_CONFIG")));
@@ -40,7 +40,7 @@
     return line;
   }
 
-  /** What a user did wrong is told in a line or two, not by a stack trace. */
+  /** Reports a user's error by its message, without a stack trace. */
   private static int reportUserError(
       Exception e, CommandLine commandLine, CommandLine.ParseResult parseResult) throws Exception {
     if (e instanceof SettingsFile.UnusableSettingsException
@@ -58,7 +58,7 @@
     spec.commandLine().usage(spec.commandLine().getOut());
   }
 
-  /** The version as packaged. */
+  /** The version from the manifest of the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/app/src/main/java/coveladder/app/Problems.java
+++ b/app/src/main/java/coveladder/app/Problems.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Everything that is wrong with a settings file, each with its place. */
+/** Collects the problems of a settings file, each with its position. */
 final class Problems {
   private final String file;
   private final List<String> messages = new ArrayList<>();
@@ -27,7 +27,7 @@
     messages.add(file + ":" + line + ":" + column + ": " + description);
   }
 
-  /** Something unknown, with the nearest known name. */
+  /** Adds an unknown name, with the most similar known name as a hint. */
   void addUnknownName(
       int line, int column, String kind, String name, Collection<String> knownNames) {
     String nearest = nearest(name, knownNames);
@@ -55,7 +55,7 @@
     return nearest;
   }
 
-  /** Letters to add, drop or change, by Levenshtein. */
+  /** The Levenshtein distance between two names. */
   private static int editDistance(String one, String other) {
     int[] row = new int[other.length() + 1];
     for (int j = 0; j <= other.length(); j++) {
--- a/app/src/main/java/coveladder/app/RehearseCommand.java
+++ b/app/src/main/java/coveladder/app/RehearseCommand.java
@@ -21,12 +21,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a scripted day. */
+/** Runs a rehearsal: a scripted scenario with real controllers among stand-ins. */
 @Command(
     name = "rehearse",
     description = {
-      "Play a scripted day: stand-in exchanges and callers around real controllers.",
-      "Exit status 0 only if the checker finds all five rules kept and every call ended."
+      "Run a scripted scenario: stand-in exchanges and callers around real controllers.",
+      "Exit status 0 only if the checker finds no breach of its five rules and every call ended."
     })
 final class RehearseCommand implements Callable<Integer> {
   private static final Map<String, RestartRehearsal.Mode> RESTART_MODES =
@@ -40,34 +40,38 @@
   @Parameters(
       paramLabel = "NAME",
       description = {
-        "a day; 'small' or 'restarts' with --seeds; 'boundaries': a kill at each message and write",
-        "of a day in turn; 'list' names the days"
+        "a scenario; 'small' or 'restarts' with --seeds; 'boundaries': one run for each message",
+        "and write of a scenario, with a kill there; 'list' prints the scenarios"
       })
   private String name;
 
-  @Option(names = "--seed", defaultValue = "1", description = "seed of the day (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "seed of the scenario (${DEFAULT-VALUE})")
   private long seed;
 
-  @Option(names = "--simulated", description = "in virtual time instead of on loopback sockets")
+  @Option(names = "--simulated", description = "run in virtual time instead of on loopback sockets")
   private boolean simulated;
 
   @Option(
       names = "--seeds",
       defaultValue = "0",
       paramLabel = "COUNT",
-      description = "play so many seeds in virtual time, from --seed on")
+      description = "number of seeds to run in virtual time, starting with --seed")
   private int seeds;
 
   @Option(
       names = "--calls",
       defaultValue = "5000",
-      description = "calls of restart, region and upgrade, about (${DEFAULT-VALUE})")
+      description = "approximate number of calls of restart, region and upgrade (${DEFAULT-VALUE})")
   private int calls;
 
   @Option(
       names = "--ends",
       defaultValue = "60",
-      description = "how many times controllers end in them (${DEFAULT-VALUE})")
+      description =
+          "how many times controllers end in restart, region and upgrade (${DEFAULT-VALUE})")
   private int ends;
 
   @Override
--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -35,8 +35,9 @@
 import java.util.stream.Stream;
 
 /**
- * Controllers as processes of their own on loopback sockets, killed by SIGKILL or replaced at times
- * that the seed draws, amid calls. Stand-ins and the checker live on in this process.
+ * A rehearsal with controllers as separate processes on loopback sockets. While calls are made,
+ * controllers are killed by SIGKILL or taken over at random times drawn from the seed. The
+ * stand-ins and the checker run in this process throughout.
  */
 final class RestartRehearsal {
   private static final double LOAD_START_MILLIS = 3_000;
@@ -58,21 +59,21 @@
   private SocketWorld world;
   private Fleet fleet;
 
-  /** How controllers end and begin. */
+  /** How controllers are ended and started again. */
   enum Mode {
-    /** One by one, by SIGKILL. */
+    /** One at a time, by SIGKILL. */
     RESTART,
     /** All at once, by SIGKILL. */
     REGION,
-    /** One by one, each taken over by another process. */
+    /** One at a time, each taken over by a new process. */
     UPGRADE
   }
 
   /**
-   * Makes a rehearsal.
+   * Creates a rehearsal.
    *
-   * @param callCount calls to be made, about
-   * @param endCount how many times a controller ends
+   * @param callCount approximate number of calls
+   * @param endCount how many times a controller, or with {@link Mode#REGION} all of them, ends
    */
   RestartRehearsal(Mode mode, long seed, int callCount, int endCount, PrintWriter out) {
     this.mode = mode;
@@ -94,7 +95,10 @@
             eightExchanges.timing());
   }
 
-  /** Plays it; whether all rules hold and every call came to its end. */
+  /**
+   * Runs the rehearsal. Returns whether no rule was broken, every call ended, all circuits were
+   * released and no controller logged an error.
+   */
   boolean play() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("coveladder-rehearsal");
     Thread shutdownHook = new Thread(this::killAll, "kill");
@@ -118,7 +122,9 @@
     }
   }
 
-  /** What crossed the wire stays beside the logs, for whoever looks for the fault. */
+  /**
+   * Writes the recorded messages to the folder of the controllers' logs, to help find the fault.
+   */
   private void saveMessages(Path folder) throws IOException {
     try (PrintWriter writer =
         new PrintWriter(Files.newBufferedWriter(folder.resolve(MESSAGE_LOG_NAME), ISO_8859_1))) {
@@ -127,9 +133,12 @@
     out.println("logs and wire of this run: " + folder);
   }
 
-  // ---- Raising ------------------------------------------------------------------------------
+  // ---- Start --------------------------------------------------------------------------------
 
-  /** Ports below those that the system gives to connections, so that each stays free when down. */
+  /**
+   * Chooses free ports below the ephemeral range, so that a port is not taken while its controller
+   * is down.
+   */
   private Map<Integer, Hop> chooseAddresses() throws IOException {
     Map<Integer, Hop> addresses = new HashMap<>();
     int port = 16_000 + random.nextInt(8_000);
@@ -190,7 +199,7 @@
     }
   }
 
-  // ---- Playing ------------------------------------------------------------------------------
+  // ---- Run ----------------------------------------------------------------------------------
 
   private boolean runLoad(Map<Integer, Hop> addresses) throws IOException, InterruptedException {
     double durationMillis = 1_000.0 * callCount / (plan.rate() * plan.exchanges());
@@ -264,7 +273,7 @@
     downtimesMillis.add(world.now() - endedAt);
   }
 
-  /** Writes down which calls stand through a controller that is about to end. */
+  /** Records the calls that are established through a controller that is about to end. */
   private void recordEstablishedCalls(int number) throws InterruptedException {
     CountDownLatch recorded = new CountDownLatch(1);
     world.at(
--- a/app/src/main/java/coveladder/app/RunCommand.java
+++ b/app/src/main/java/coveladder/app/RunCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs one controller until SIGTERM. */
+/** Runs a controller until SIGTERM or until its calls are taken over. */
 @Command(
     name = "run",
     description = "Run a controller in the foreground until SIGTERM; SIGHUP reloads its settings.")
@@ -22,12 +22,12 @@
       names = "--config",
       required = true,
       paramLabel = "FILE",
-      description = "settings, a KDL document")
+      description = "settings file, a KDL document")
   private Path config;
 
   @Option(
       names = "--take-over",
-      description = "take the calls of the controller that runs on the same state folder")
+      description = "take over the calls of the running controller that uses the same state folder")
   private boolean takeOver;
 
   @Spec private CommandSpec spec;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** A file that cannot be used changes nothing. */
+  /** Reloads the settings; an unusable file changes nothing. */
   private void reload(Daemon daemon) {
     try {
       daemon.reload(SettingsFile.read(config));
--- a/app/src/main/java/coveladder/app/Section.java
+++ b/app/src/main/java/coveladder/app/Section.java
@@ -6,7 +6,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One node of the settings, read by the names that it may have. */
+/**
+ * Reads the argument and the properties of one settings node. Properties that were not read are
+ * reported by {@link #rejectUnknownContent}.
+ */
 final class Section {
   private final KdlNode node;
   private final Problems problems;
@@ -17,7 +20,11 @@
     this.problems = problems;
   }
 
-  /** The one argument, a string. */
+  /**
+   * Returns the node's only argument, a non-empty string.
+   *
+   * @param description what the argument is, for the error message
+   */
   String argument(String description) {
     if (node.arguments().size() != 1) {
       problems.add(node, node.name() + " needs one argument, " + description);
@@ -31,7 +38,7 @@
     return value.text();
   }
 
-  /** Complains of arguments where there are none to be. */
+  /** Reports a problem if the node has arguments. */
   void rejectArguments() {
     if (!node.arguments().isEmpty()) {
       problems.add(node.arguments().get(0), node.name() + " has properties only, name=value");
@@ -43,7 +50,7 @@
     return node.properties().get(name);
   }
 
-  /** A string, or another where it is missing; null for that other makes it needed. */
+  /** Returns a string property, or its default; without a default (null) it is required. */
   String text(String name, String defaultValue) {
     KdlValue value = property(name);
     if (value == null) {
@@ -58,7 +65,7 @@
     return value.text();
   }
 
-  /** One of some words. */
+  /** Returns a string property that has one of the given values. */
   String choice(String name, String defaultValue, List<String> choices) {
     String text = text(name, defaultValue);
     if (!choices.contains(text)) {
@@ -69,7 +76,7 @@
     return text;
   }
 
-  /** A number between bounds, or another where it is missing; NaN makes it needed. */
+  /** Returns a number from min to max, or its default; without a default (NaN) it is required. */
   double number(String name, double defaultValue, double min, double max) {
     KdlValue value = property(name);
     if (value == null) {
@@ -88,7 +95,7 @@
     return value.number();
   }
 
-  /** A whole number between bounds. */
+  /** Returns an integer from min to max; defaults are as for {@link #number}. */
   int integer(String name, double defaultValue, double min, double max) {
     double number = number(name, defaultValue, min, max);
     if (number != Math.rint(number)) {
@@ -97,7 +104,7 @@
     return (int) number;
   }
 
-  /** A flag, not set where it is missing. */
+  /** Returns a boolean property; false if it is missing. */
   boolean flag(String name) {
     KdlValue value = property(name);
     if (value != null && value.kind() != KdlValue.Kind.BOOLEAN) {
@@ -112,7 +119,7 @@
         : Double.toString(number);
   }
 
-  /** Complains of properties that were never asked for, and of children. */
+  /** Reports properties that have not been read, and children. */
   void rejectUnknownContent() {
     for (var entry : node.properties().entrySet()) {
       if (!knownProperties.contains(entry.getKey())) {
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -19,22 +19,22 @@
 /**
  * All settings of one controller.
  *
- * @param listenAddress where it takes signalling, UDP and TCP
- * @param domain own domain
- * @param exchangeNumber number of the own exchange
- * @param controllerCount how many controllers there are
- * @param localSwitch where the own switch takes signalling
- * @param listServer where the exchange list is
+ * @param listenAddress address on which it receives signalling, by UDP and TCP
+ * @param domain domain of the local exchange
+ * @param exchangeNumber number of the local exchange
+ * @param controllerCount number of controllers in the network
+ * @param localSwitch signalling address of the local switch
+ * @param listServer address of the server of the exchange directory
  * @param classes the call classes
- * @param calls figures for calls and attempts
- * @param coldStart figures of cold processors
+ * @param calls settings of calls and attempts
+ * @param coldStart settings of processors that have just started
  * @param timing SIP timers
- * @param stackLimits bounds of the stack
- * @param socketLimits bounds of the sockets
- * @param state where calls are kept; null: nowhere, and they do not survive a restart
- * @param metricsAddress where metrics are read over HTTP; null: nowhere
- * @param logLevel least level that is logged
- * @param seed seed of all random choices
+ * @param stackLimits limits of the SIP stack
+ * @param socketLimits limits of the sockets
+ * @param state where calls are stored; null: they are not stored and do not survive a restart
+ * @param metricsAddress address at which metrics are served over HTTP; null: they are not served
+ * @param logLevel lowest level that is logged
+ * @param seed seed of the policy's random choices
  */
 public record Settings(
     Hop listenAddress,
@@ -57,11 +57,11 @@
   /**
    * A call class.
    *
-   * @param name its name
+   * @param name its name in the settings, logs and metrics
    * @param priority its Resource-Priority value; empty: none
-   * @param prefixes prefixes of numbers of this class
-   * @param isDefault whether calls that fit no other class are of this one
-   * @param policyClass what the policy is told
+   * @param prefixes prefixes of the called numbers that belong to this class
+   * @param isDefault whether calls that match no other class belong to this one
+   * @param policyClass the class as the policy uses it
    */
   public record ClassSettings(
       String name,
@@ -71,20 +71,23 @@
       CallClass policyClass) {}
 
   /**
-   * Figures for calls and attempts.
+   * Settings of calls and attempts.
    *
-   * @param maxAttempts most attempts of a call
-   * @param guardMillis wait after a time-out, reset or cancel, ms
-   * @param drainGraceMillis time to cease sending after word of a drain, ms
-   * @param patienceMillis patience of callers without Expires, ms
-   * @param answerMarginMillis time kept for an answer's way, ms
-   * @param maxRetryAfterMillis longest wait told to refused callers, ms; 0: none is told
+   * @param maxAttempts maximum number of attempts for one call
+   * @param guardMillis guard time after a time-out, reset or cancel before the call is sent again,
+   *     ms
+   * @param drainGraceMillis time after the report of a drain during which attempts to that exchange
+   *     may still be sent, ms
+   * @param patienceMillis patience of a caller whose INVITE has no Expires, ms
+   * @param answerMarginMillis time reserved for a final answer to reach the caller, ms
+   * @param maxRetryAfterMillis longest retry delay that a refused caller observes, ms; 0: callers
+   *     cannot be asked to wait
    * @param mayProbe whether exchanges may be probed
    * @param mayBroadcast whether controllers may send each other messages
-   * @param directoryOnRequest whether the policy must ask for the list
-   * @param maxCalls most calls held
-   * @param retryAfterSeconds seconds told at shutdown and at the bound
-   * @param drainTimeoutMillis longest time that calls in flight get at shutdown, ms
+   * @param directoryOnRequest whether the policy must subscribe to the exchange directory
+   * @param maxCalls maximum number of simultaneous calls
+   * @param retryAfterSeconds Retry-After at shutdown and at the maximum number of calls, s
+   * @param drainTimeoutMillis longest time that pending calls have to end at shutdown, ms
    */
   public record CallSettings(
       int maxAttempts,
@@ -101,22 +104,23 @@
       double drainTimeoutMillis) {}
 
   /**
-   * Figures of cold processors.
+   * Settings of processors that have just started.
    *
-   * @param coldShare share of its capacity at which one begins
-   * @param rampMillis time until it is warm, ms
-   * @param coldMultiple multiple of what it can do that it bears
-   * @param windowMillis window over which that is counted, ms
+   * @param coldShare share of its capacity at which a processor starts
+   * @param rampMillis time from its start until a processor has its full capacity, ms
+   * @param coldMultiple multiple of its present capacity that a cold processor can bear
+   * @param windowMillis length of the window over which that load is counted, ms
    */
   public record ColdStartSettings(
       double coldShare, double rampMillis, double coldMultiple, double windowMillis) {}
 
   /**
-   * Where calls are kept, and how a start goes on with them.
+   * Where calls are stored and how they are recovered at a start.
    *
-   * @param folder the folder
-   * @param recoveredCallsPerSecond calls a second that recovery may deal with
-   * @param verifyDelayMillis time until standing calls are asked after, ms
+   * @param folder the state folder
+   * @param recoveredCallsPerSecond calls per second that recovery cancels, answers again or
+   *     verifies
+   * @param verifyDelayMillis time until the first established call is verified, ms
    */
   public record StateSettings(
       Path folder, double recoveredCallsPerSecond, double verifyDelayMillis) {
@@ -125,7 +129,7 @@
     }
   }
 
-  /** What the policy is told. */
+  /** The settings of the policy. */
   public CallPolicy.Settings policySettings() {
     return new CallPolicy.Settings(
         Layout.MESH,
@@ -147,7 +151,7 @@
         coldStart.windowMillis());
   }
 
-  /** What the SIP front is told. */
+  /** The settings of the SIP front end. */
   public FrontSettings frontSettings() {
     return new FrontSettings(
         domain,
@@ -162,7 +166,13 @@
         stackLimits);
   }
 
-  /** The same on any free port, with its state in a folder and its neighbours at a port. */
+  /**
+   * Returns a copy for a controller that runs only to load its classes: it listens on any free port
+   * and serves no metrics.
+   *
+   * @param stateFolder a temporary state folder
+   * @param unusedPort port given as that of the local switch and of the list server
+   */
   Settings forWarmUp(Path stateFolder, int unusedPort) {
     Hop unusedAddress = new Hop(Transport.UDP, "127.0.0.1", unusedPort);
     return new Settings(
@@ -199,7 +209,7 @@
     return new ClassTable(names, priorities, prefixes, defaultType);
   }
 
-  /** What differs in a reload and cannot change in service, by the names of the settings. */
+  /** The names of the settings that differ in {@code other} and change only by a restart. */
   public List<String> changesNeedingRestart(Settings other) {
     List<String> names = new ArrayList<>();
     addIfChanged(names, "listen", listenAddress, other.listenAddress);
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads settings from a KDL document; all problems are found in one reading. */
+/** Reads settings from a KDL document and reports all problems in it at once. */
 public final class SettingsFile {
   private static final List<String> SINGLE_NODES =
       List.of(
@@ -48,7 +48,7 @@
     problems = new Problems(name);
   }
 
-  /** Settings that cannot be used; each problem is one line with file, line and column. */
+  /** Settings are unusable; the message has one line, with its position, for each problem. */
   public static final class UnusableSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> problems;
@@ -58,18 +58,22 @@
       this.problems = problems;
     }
 
-    /** The problems, each with its place. */
+    /** The problems, each as {@code FILE:LINE:COLUMN: description}. */
     public List<String> problems() {
       return problems;
     }
   }
 
-  /** Reads a file. */
+  /** Reads a settings file. */
   public static Settings read(Path file) throws IOException, UnusableSettingsException {
     return read(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
   }
 
-  /** Reads a document that came under a name. */
+  /**
+   * Reads a settings document.
+   *
+   * @param name file name for the positions of problems
+   */
   public static Settings read(String name, String document) throws UnusableSettingsException {
     SettingsFile file = new SettingsFile(name);
     Settings settings = null;
--- a/app/src/main/java/coveladder/app/SettingsText.java
+++ b/app/src/main/java/coveladder/app/SettingsText.java
@@ -4,14 +4,18 @@
 import coveladder.rehearsal.FleetPlan;
 import java.nio.file.Path;
 
-/** Writes settings for a controller among stand-ins on this machine. */
+/** Writes the settings document of a controller whose neighbours are stand-ins on this host. */
 final class SettingsText {
   private SettingsText() {}
 
   /**
-   * Settings of one controller.
+   * Returns the settings document of one controller.
    *
-   * @param stateFolder folder that its calls are kept in
+   * @param exchange number of its exchange
+   * @param listenPort port on which it listens
+   * @param switchPort port of the local switch
+   * @param listPort port of the list server
+   * @param stateFolder folder in which it stores its calls
    */
   static String of(
       FleetPlan plan,
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -28,12 +28,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Raises stand-in switches and a list server for controllers that run elsewhere on the machine. */
+/** Runs stand-in switches and a list server for controllers in other processes on this host. */
 @Command(
     name = "standin",
     description = {
-      "Raise stand-in switches and a list server on loopback, and write settings for the",
-      "controllers that belong to them. Ends by itself after --minutes."
+      "Run stand-in switches and a list server on loopback, and write settings for the",
+      "controllers that belong to them. Ends after --minutes."
     })
 final class StandinCommand implements Callable<Integer> {
   private static final String HOST = "127.0.0.1";
@@ -43,23 +43,23 @@
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--exchanges", defaultValue = "4", description = "how many, 2 to 64")
+  @Option(names = "--exchanges", defaultValue = "4", description = "number of exchanges, 2 to 64")
   private int exchanges;
 
   @Option(
       names = "--base-port",
       defaultValue = "15000",
-      description = "list at this port, switches from 10 above, controllers from 100 above")
+      description = "port of the list server; switches start 10 above it, controllers 100 above it")
   private int basePort;
 
   @Option(
       names = "--settings",
       defaultValue = "standin-settings",
       paramLabel = "FOLDER",
-      description = "where the controllers' settings are written (${DEFAULT-VALUE})")
+      description = "folder for the controllers' settings (${DEFAULT-VALUE})")
   private Path folder;
 
-  @Option(names = "--minutes", defaultValue = "60", description = "ends after so long")
+  @Option(names = "--minutes", defaultValue = "60", description = "minutes until the command ends")
   private int minutes;
 
   @Override
--- a/app/src/main/java/coveladder/app/StateCommand.java
+++ b/app/src/main/java/coveladder/app/StateCommand.java
@@ -17,12 +17,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks into a state folder. */
+/** Inspects and compacts a state folder. */
 @Command(
     name = "state",
     description = {
-      "Look into a state folder. All but compact work on the folder of a running controller too:",
-      "they read a copy and change nothing."
+      "Inspect a state folder. All commands but compact also work while a controller uses the",
+      "folder: they read a copy and change nothing."
     })
 final class StateCommand implements Runnable {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -38,7 +38,7 @@
     return spec.commandLine().getOut();
   }
 
-  @Command(name = "list", description = "One line for each call that is kept.")
+  @Command(name = "list", description = "Print one line for each stored call.")
   int list(@Parameters(paramLabel = "FOLDER") Path folder)
       throws IOException, DiskStore.UnusableFolderException {
     StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
@@ -66,7 +66,9 @@
         + (contents.behind() ? "; BEHIND: calls go or went on unkept" : "");
   }
 
-  @Command(name = "show", description = "All that is kept of one call, its messages included.")
+  @Command(
+      name = "show",
+      description = "Print all that is stored of one call, including its messages.")
   int show(@Parameters(paramLabel = "FOLDER") Path folder, @Parameters(paramLabel = "ID") String id)
       throws IOException, DiskStore.UnusableFolderException {
     for (SavedCall saved : StateFolderAdmin.read(folder).calls()) {
@@ -104,7 +106,9 @@
     return redacted.replaceAll("[^\\x20-\\x7e\\n]", ".");
   }
 
-  @Command(name = "verify", description = "Read every record; status 1 if any is damaged.")
+  @Command(
+      name = "verify",
+      description = "Read every record; status 1 if one is damaged or the file is behind.")
   int verify(@Parameters(paramLabel = "FOLDER") Path folder)
       throws IOException, DiskStore.UnusableFolderException {
     StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
@@ -113,7 +117,9 @@
     return contents.damagedRecords().isEmpty() && !contents.behind() ? 0 : 1;
   }
 
-  @Command(name = "compact", description = "Make the file small; the folder must be free.")
+  @Command(
+      name = "compact",
+      description = "Compact the file; no controller may be using the folder.")
   int compact(@Parameters(paramLabel = "FOLDER") Path folder)
       throws IOException, DiskStore.UnusableFolderException {
     long[] sizes = StateFolderAdmin.compact(folder);
@@ -121,7 +127,9 @@
     return 0;
   }
 
-  @Command(name = "export", description = "One JSON line for each call, messages in Base64.")
+  @Command(
+      name = "export",
+      description = "Print one JSON line for each call, with its messages in Base64.")
   int export(@Parameters(paramLabel = "FOLDER") Path folder)
       throws IOException, DiskStore.UnusableFolderException {
     for (SavedCall saved : StateFolderAdmin.read(folder).calls()) {
--- a/app/src/main/java/coveladder/app/TakeOver.java
+++ b/app/src/main/java/coveladder/app/TakeOver.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the calls of a running controller over, for an upgrade: this process is up and has read its
- * settings before the other lets go of its sockets and its state.
+ * Takes over the calls of a running controller, for an upgrade. This process has started and read
+ * its settings before the other one releases its sockets and its state folder.
  */
 final class TakeOver {
   private static final Logger LOG = LoggerFactory.getLogger(TakeOver.class);
@@ -24,7 +24,7 @@
 
   private TakeOver() {}
 
-  /** Starts a controller in place of the one that has its state folder, if there is one. */
+  /** Starts a controller in place of the one, if any, that uses the same state folder. */
   static Daemon startInPlace(Settings settings)
       throws IOException, DiskStore.UnusableFolderException {
     warmUp(settings);
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Runs a controller for a moment, on other ports and an empty folder, so that what has to be
-   * loaded is there before the other one lets go.
+   * Starts and closes a controller on other ports and with an empty state folder, so that the
+   * classes are loaded before the running controller stops listening.
    */
   private static void warmUp(Settings settings)
       throws IOException, DiskStore.UnusableFolderException {
@@ -60,7 +60,10 @@
     }
   }
 
-  /** When the other closed its sockets, by the machine's count of time, ns; 0: there is none. */
+  /**
+   * Asks the running controller to hand over and returns when it closed its sockets, ns by {@link
+   * System#nanoTime}, which is common to the processes of a host; 0 if no controller is running.
+   */
   private static long requestHandOver(Settings settings) throws IOException {
     try (ControlSocket.Connection connection =
         ControlSocket.Connection.send(settings.state().folder(), "hand-over")) {
@@ -75,7 +78,7 @@
     }
   }
 
-  /** The other may still be closing its file: tries until the folder is free. */
+  /** Retries until the state folder is free: the other process may still be closing its file. */
   private static Daemon startWithRetries(Settings settings)
       throws IOException, DiskStore.UnusableFolderException {
     long deadlineNanos = System.nanoTime() + START_TIMEOUT_NANOS;
--- a/app/src/test/java/coveladder/app/CommandLineTest.java
+++ b/app/src/test/java/coveladder/app/CommandLineTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** Exit statuses and output of the subcommands. */
 class CommandLineTest {
   @TempDir private Path folder;
   private final StringWriter out = new StringWriter();
--- a/app/src/test/java/coveladder/app/DaemonTest.java
+++ b/app/src/test/java/coveladder/app/DaemonTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A controller on sockets whose own switch and list are sockets of the test. */
+/** A controller whose local switch, list server and caller are UDP sockets of the test. */
 class DaemonTest {
   private static final int TIMEOUT_MILLIS = 10_000;
 
@@ -61,7 +61,7 @@
     return SettingsFile.read("x.kdl", document);
   }
 
-  /** Another controller among other neighbours, which keeps its calls. */
+  /** Replaces the controller by one that stores its calls, and all sockets by new ones. */
   private void restartWithStateFolder() throws Exception {
     stop();
     localSwitch = socket();
@@ -90,7 +90,7 @@
     from.send(new DatagramPacket(octets, octets.length, to, daemon.port()));
   }
 
-  /** The next message that begins so; others are passed over. */
+  /** Returns the next message that starts with a prefix; discards others. */
   private static String receive(DatagramSocket socket, String prefix) throws IOException {
     byte[] octets = new byte[65_536];
     while (true) {
@@ -108,7 +108,7 @@
     return message.substring(start, message.indexOf("\r\n", start));
   }
 
-  /** Gives the controller a list of two exchanges, as the list server would. */
+  /** Sends the controller a directory of two exchanges, as the list server would. */
   private void sendDirectory() throws IOException {
     String subscribe = receive(listServer, "SUBSCRIBE");
     String body =
@@ -166,7 +166,7 @@
     assertEquals("2", header(answer, "Retry-After"));
   }
 
-  /** Answers the attempt that came and takes the call's 200 and ACK through. */
+  /** Makes a call, answers its attempt with 200 and returns the attempt's Call-ID after the ACK. */
   private String establishCall() throws IOException {
     sendDirectory();
     invite();
@@ -179,7 +179,7 @@
             + header(attempt, "From")
             + "\r\nTo: "
             + header(attempt, "To")
-            + ";tag=far\r\nCall-ID: "
+            + ";tag=remote\r\nCall-ID: "
             + header(attempt, "Call-ID")
             + "\r\nCSeq: 1 INVITE\r\nContact: <sip:127.0.0.1:"
             + localSwitch.getLocalPort()
--- a/app/src/test/java/coveladder/app/SettingsFileTest.java
+++ b/app/src/test/java/coveladder/app/SettingsFileTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Settings documents: defaults, problems with their positions, and reloads. */
 class SettingsFileTest {
   static final String VALID =
       """
--- a/app/src/test/java/coveladder/app/StateCommandTest.java
+++ b/app/src/test/java/coveladder/app/StateCommandTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** The state subcommands on a folder with two stored calls. */
 class StateCommandTest {
   @TempDir private Path folder;
   private StringWriter out = new StringWriter();
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Telephones by JAIN SIP at both ends of the path: caller, controller, switch, callee. */
+/** Calls from a JAIN SIP caller through a controller and a switch to a JAIN SIP callee. */
 class JainInteropTest {
   private static final String HOST = "127.0.0.1";
 
@@ -96,7 +96,7 @@
         + "\nclass \"plain\" aim=4000 give-up=9000 hold=5000 default=#true\n";
   }
 
-  /** Calls before the first list are put off; the telephone tries until one is not. */
+  /** Repeats a call until it is not refused: calls before the first exchange directory get 503. */
   private void awaitDirectory() throws Exception {
     String answer;
     callee.answerWith(486);
--- a/app/src/test/java/coveladder/interop/JainPeer.java
+++ b/app/src/test/java/coveladder/interop/JainPeer.java
@@ -33,7 +33,7 @@
 import javax.sip.message.Response;
 
 /**
- * A SIP telephone on the JAIN SIP reference implementation: a peer that the project did not write.
+ * A SIP user agent on the JAIN SIP reference implementation, which is independent of this project.
  */
 final class JainPeer implements SipListener, AutoCloseable {
   private static final String HOST = "127.0.0.1";
@@ -53,7 +53,7 @@
   private volatile ServerTransaction incomingInvite;
   private volatile int answerStatus = 200;
 
-  /** Starts a telephone on any free port. */
+  /** Starts a user agent on any free port. */
   JainPeer(String name, String transport) throws Exception {
     this.transport = transport;
     this.port = freePort();
@@ -81,12 +81,12 @@
     return port;
   }
 
-  /** The status with which it answers INVITEs; 180 rings and answers no more. */
+  /** Sets the status with which it answers INVITEs; with 180 it rings and sends no final answer. */
   void answerWith(int status) {
     answerStatus = status;
   }
 
-  /** The next thing that happened but for ringing, which may overtake or be overtaken. */
+  /** Returns the next event other than ringing, whose order among the others is not fixed. */
   String nextEvent() throws InterruptedException {
     String event;
     do {
@@ -95,7 +95,7 @@
     return event;
   }
 
-  /** Waits until the other side rings; whether it did. */
+  /** Waits for the next event; returns whether it is the ringing of the other side. */
   boolean awaitRinging() throws InterruptedException {
     return RINGING.equals(events.poll(10, TimeUnit.SECONDS));
   }
--- a/app/src/test/java/coveladder/shape/BoundariesTest.java
+++ b/app/src/test/java/coveladder/shape/BoundariesTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.junit.jupiter.api.Test;
 
-/** The boundaries of docs/architecture.md. */
+/** Checks the package boundaries of docs/architecture.md. */
 class BoundariesTest {
   private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
