--- a/app/src/main/java/coveladder/app/ControlSocket.java
+++ b/app/src/main/java/coveladder/app/ControlSocket.java
@@ -29,16 +29,16 @@
  */
 final class ControlSocket implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControlSocket.class);
-  private static final int MAX_PATH_LENGTH = 100;
+  private static final int MAX_PATH_LENGTH = 100; // a socket address holds 108 bytes on Linux
   private static final int READ_BUFFER_CHARS = 4_096;
-  private static final int MAX_CONNECTIONS = 4;
+  private static final int MAX_CONCURRENT_COMMANDS = 4;
   private static final long CONNECTION_TIMEOUT_SECONDS = 60;
 
   private final Path socketPath;
   private final ServerSocketChannel server;
   private final Map<String, CommandHandler> handlers = new ConcurrentHashMap<>();
   private final ScheduledExecutorService executor =
-      Executors.newScheduledThreadPool(MAX_CONNECTIONS + 1);
+      Executors.newScheduledThreadPool(MAX_CONCURRENT_COMMANDS + 1);
   private volatile boolean open = true;
 
   /** Executes one command. */
@@ -56,13 +56,14 @@
     socketPath = socketPath(folder);
     Files.deleteIfExists(socketPath);
     server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-    server.bind(UnixDomainSocketAddress.of(socketPath), MAX_CONNECTIONS);
+    server.bind(UnixDomainSocketAddress.of(socketPath), MAX_CONCURRENT_COMMANDS);
     Files.setPosixFilePermissions(socketPath, PosixFilePermissions.fromString("rw-------"));
     Thread thread = new Thread(this::accept, "control");
     thread.setDaemon(true);
     thread.start();
   }
 
+  /** The path of the socket in a state folder. */
   static Path socketPath(Path folder) throws IOException {
     Path path = folder.toAbsolutePath().resolve("control");
     if (path.toString().length() > MAX_PATH_LENGTH) {
@@ -146,7 +147,7 @@
               new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8));
     }
 
-    /** Sends one command; returns null if no controller uses the folder. */
+    /** Connects and sends one command; returns null if no controller uses the folder. */
     static Connection send(Path folder, String command) throws IOException {
       if (!Files.exists(socketPath(folder))) {
         return null;
--- a/app/src/main/java/coveladder/app/ControllerProcess.java
+++ b/app/src/main/java/coveladder/app/ControllerProcess.java
@@ -73,6 +73,7 @@
     process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output).start();
   }
 
+  /** Waits for a message in a log and returns the rest of its line, from the message on. */
   private String awaitLine(Path file, String message) throws IOException, InterruptedException {
     long deadlineNanos = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
     while (System.nanoTime() < deadlineNanos && process.isAlive()) {
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -42,7 +42,7 @@
   private final Sockets sockets;
   private final EventLoop loop;
   private final SocketNode node;
-  private final SipFront front;
+  private final SipFront frontEnd;
   private final PrometheusMeterRegistry meterRegistry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final CountDownLatch terminated = new CountDownLatch(1);
@@ -86,7 +86,7 @@
     guard = new AttemptGuard(settings.calls().guardMillis(), settings.calls().drainGraceMillis());
     List<String> classNames =
         settings.classes().stream().map(Settings.ClassSettings::name).toList();
-    front =
+    frontEnd =
         new SipFront(
             node,
             settings.frontSettings(),
@@ -101,7 +101,7 @@
       registerStoreGauges();
     }
     loop.start();
-    node.start(front);
+    node.start(frontEnd);
     if (store != null) {
       loop.execute(this::logRecoveryStart);
     }
@@ -131,9 +131,9 @@
   }
 
   private void registerStoreGauges() {
-    Gauge.builder("coveladder.state.calls", front, f -> f.writeAhead().persistedCallCount())
+    Gauge.builder("coveladder.state.calls", frontEnd, f -> f.writeAhead().persistedCallCount())
         .register(meterRegistry);
-    Gauge.builder("coveladder.state.unkept", front, f -> f.writeAhead().unpersistedActions())
+    Gauge.builder("coveladder.state.unkept", frontEnd, f -> f.writeAhead().unpersistedActions())
         .register(meterRegistry);
     Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges)
         .register(meterRegistry);
@@ -143,26 +143,26 @@
         .register(meterRegistry);
     Gauge.builder("coveladder.state.failing", store, s -> s.failureReason().isEmpty() ? 0 : 1)
         .register(meterRegistry);
-    Gauge.builder("coveladder.recovery.open", front, f -> f.recovery().isComplete() ? 0 : 1)
+    Gauge.builder("coveladder.recovery.open", frontEnd, f -> f.recovery().isComplete() ? 0 : 1)
         .register(meterRegistry);
-    Gauge.builder("coveladder.recovery.gone", front, f -> f.recovery().releasedCalls())
+    Gauge.builder("coveladder.recovery.gone", frontEnd, f -> f.recovery().releasedCalls())
         .register(meterRegistry);
   }
 
   /** Logs what the start found in the state folder, and later that recovery is complete. */
   private void logRecoveryStart() {
-    Recovery recovery = front.recovery();
+    Recovery recovery = frontEnd.recovery();
     LOG.info(
         "going on from state",
         kv("standing", recovery.recoveredCalls(Phase.STANDS)),
         kv("cutShort", recovery.recoveredCalls(Phase.SETTING_UP)),
         kv("answersOnTheirWay", recovery.recoveredCalls(Phase.ANSWERED)),
         kv("damaged", recovery.damagedRecords()));
-    awaitRecovery();
+    pollRecovery();
   }
 
-  private void awaitRecovery() {
-    Recovery recovery = front.recovery();
+  private void pollRecovery() {
+    Recovery recovery = frontEnd.recovery();
     if (recovery.isComplete()) {
       LOG.info(
           "recovery done",
@@ -170,14 +170,15 @@
           kv("gone", recovery.releasedCalls()),
           kv("after", Math.round(loop.now())));
     } else {
-      loop.after(RECOVERY_CHECK_INTERVAL_MILLIS, this::awaitRecovery);
+      loop.after(RECOVERY_CHECK_INTERVAL_MILLIS, this::pollRecovery);
     }
   }
 
-  private HttpServer startMetricsServer(Settings from) throws IOException {
-    InetSocketAddress at =
-        new InetSocketAddress(from.metricsAddress().host(), from.metricsAddress().port());
-    HttpServer server = HttpServer.create(at, 16);
+  private HttpServer startMetricsServer(Settings initialSettings) throws IOException {
+    InetSocketAddress address =
+        new InetSocketAddress(
+            initialSettings.metricsAddress().host(), initialSettings.metricsAddress().port());
+    HttpServer server = HttpServer.create(address, 16);
     server.createContext(
         "/metrics",
         exchange -> {
@@ -192,7 +193,7 @@
   }
 
   private void registerGauges() {
-    Gauge.builder("coveladder.calls.held", front, f -> f.controller().callCount())
+    Gauge.builder("coveladder.calls.held", frontEnd, f -> f.controller().callCount())
         .register(meterRegistry);
     Gauge.builder("coveladder.loop.waiting", loop, EventLoop::queuedTasks).register(meterRegistry);
     Gauge.builder("coveladder.loop.dropped", loop, EventLoop::droppedTasks).register(meterRegistry);
@@ -201,12 +202,14 @@
         .register(meterRegistry);
     Gauge.builder("coveladder.peers.let.go", node, SocketNode::overflowDisconnects)
         .register(meterRegistry);
-    Gauge.builder("coveladder.messages.unreadable", front, f -> f.stack().malformedMessages())
+    Gauge.builder("coveladder.messages.unreadable", frontEnd, f -> f.stack().malformedMessages())
         .register(meterRegistry);
     Gauge.builder("coveladder.setups.held.back", guard, AttemptGuard::suppressed)
         .register(meterRegistry);
     Gauge.builder(
-            "coveladder.transactions", front, f -> f.stack().userAgent().transactionLayer().size())
+            "coveladder.transactions",
+            frontEnd,
+            f -> f.stack().userAgent().transactionLayer().size())
         .register(meterRegistry);
   }
 
@@ -223,7 +226,7 @@
   /** Applies the settings that can change in service; returns the names of changed others. */
   public List<String> reload(Settings newSettings) {
     List<String> unchangedSettings = settings.changesNeedingRestart(newSettings);
-    loop.offer(() -> front.reload(newSettings.frontSettings()));
+    loop.offer(() -> frontEnd.reload(newSettings.frontSettings()));
     LogLevel.set(newSettings.logLevel());
     settings = newSettings;
     if (unchangedSettings.isEmpty()) {
@@ -248,7 +251,7 @@
     if (!terminated.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
       LOG.warn(
           "ended with attempts still out",
-          kv("outstanding", front.controller().outstandingAttempts()));
+          kv("outstanding", frontEnd.controller().outstandingAttempts()));
     }
     close();
   }
@@ -263,10 +266,10 @@
     CountDownLatch drained = new CountDownLatch(1);
     loop.put(
         () -> {
-          LOG.info("handing over", kv("unanswered", front.controller().pendingCallCount()));
+          LOG.info("handing over", kv("unanswered", frontEnd.controller().pendingCallCount()));
           shuttingDown = true;
-          front.drain();
-          awaitDrain(loop.now() + settings.calls().drainTimeoutMillis(), drained);
+          frontEnd.drain();
+          pollDrain(loop.now() + settings.calls().drainTimeoutMillis(), drained);
         });
     drained.await((long) settings.calls().drainTimeoutMillis() + 1_000, TimeUnit.MILLISECONDS);
     handedOver = true;
@@ -276,11 +279,11 @@
     terminated.countDown();
   }
 
-  private void awaitDrain(double deadline, CountDownLatch drained) {
+  private void pollDrain(double deadline, CountDownLatch drained) {
     boolean busy =
-        front.controller().pendingCallCount() + front.controller().outstandingAttempts() > 0;
+        frontEnd.controller().pendingCallCount() + frontEnd.controller().outstandingAttempts() > 0;
     if (busy && loop.now() < deadline) {
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS / 4, () -> awaitDrain(deadline, drained));
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS / 4, () -> pollDrain(deadline, drained));
     } else {
       loop.after(DRAIN_CHECK_INTERVAL_MILLIS, drained::countDown);
     }
@@ -294,19 +297,19 @@
   private void beginShutDown() {
     if (!shuttingDown) {
       shuttingDown = true;
-      LOG.info("shutting down", kv("unanswered", front.controller().pendingCallCount()));
-      front.shutDown();
+      LOG.info("shutting down", kv("unanswered", frontEnd.controller().pendingCallCount()));
+      frontEnd.shutDown();
       double deadline = loop.now() + settings.calls().drainTimeoutMillis();
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitOutstandingAttempts(deadline));
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadline));
     }
   }
 
-  private void awaitOutstandingAttempts(double deadline) {
-    if (front.controller().outstandingAttempts() > 0 && loop.now() < deadline) {
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitOutstandingAttempts(deadline));
+  private void pollOutstandingAttempts(double deadline) {
+    if (frontEnd.controller().outstandingAttempts() > 0 && loop.now() < deadline) {
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadline));
       return;
     }
-    front.controller().releaseEstablished();
+    frontEnd.controller().releaseEstablished();
     loop.after(BYE_TIMEOUT_MILLIS, terminated::countDown);
   }
 
--- a/app/src/main/java/coveladder/app/LogLevel.java
+++ b/app/src/main/java/coveladder/app/LogLevel.java
@@ -8,6 +8,7 @@
 final class LogLevel {
   private LogLevel() {}
 
+  /** Sets the level by its name in the settings. */
   static void set(String name) {
     if (LoggerFactory.getLogger("coveladder") instanceof Logger logger) {
       logger.setLevel(Level.toLevel(name));
--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -53,7 +53,7 @@
   private final SplittableRandom random;
   private final FleetPlan plan;
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final Map<String, PlannedCall> establishedCalls = new TreeMap<>();
+  private final Map<String, PlannedCall> establishedAtRestart = new TreeMap<>();
   private final List<Double> listeningPausesMillis = new ArrayList<>();
   private final List<Double> downtimesMillis = new ArrayList<>();
   private SocketWorld world;
@@ -220,6 +220,7 @@
     return report(addresses, plannedCalls.size());
   }
 
+  /** Restarts a random controller {@code endCount} times, spread over the time of the calls. */
   private void restartControllers(double startMillis, double durationMillis) {
     double intervalMillis = (durationMillis - 1_000) / endCount;
     try {
@@ -236,6 +237,7 @@
     }
   }
 
+  /** Kills and starts a controller or has it taken over; in {@link Mode#REGION} restarts all. */
   private void restart(int number) throws IOException, InterruptedException {
     if (mode == Mode.REGION) {
       restartAll();
@@ -283,7 +285,7 @@
           fleet
               .callers()
               .establishedCalls(number)
-              .forEach(call -> establishedCalls.put(call.sessionIdPrefix(), call));
+              .forEach(call -> establishedAtRestart.put(call.sessionIdPrefix(), call));
           recorded.countDown();
         });
     recorded.await(5, TimeUnit.SECONDS);
@@ -323,7 +325,8 @@
           results.stream()
               .filter(result -> result.plannedCall().priority().equals(kind.priority()))
               .filter(
-                  result -> establishedCalls.containsKey(result.plannedCall().sessionIdPrefix()))
+                  result ->
+                      establishedAtRestart.containsKey(result.plannedCall().sessionIdPrefix()))
               .toList();
       long survived =
           classResults.stream()
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -124,6 +124,7 @@
    */
   public record StateSettings(
       Path folder, double recoveredCallsPerSecond, double verifyDelayMillis) {
+    /** The limits of recovery traffic. */
     RecoveryRate.Budget recoveryBudget() {
       return new RecoveryRate.Budget(recoveredCallsPerSecond, verifyDelayMillis);
     }
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -48,7 +48,7 @@
     problems = new Problems(name);
   }
 
-  /** Settings are unusable; the message has one line, with its position, for each problem. */
+  /** Thrown for unusable settings; its message has one line, with a position, for each problem. */
   public static final class UnusableSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> problems;
