--- a/app/src/main/java/coveladder/app/RehearseCommand.java
+++ b/app/src/main/java/coveladder/app/RehearseCommand.java
@@ -1,14 +1,14 @@
 package coveladder.app;
 
-import coveladder.rehearsal.Day;
-import coveladder.rehearsal.Days;
+import coveladder.rehearsal.FaultInjection;
+import coveladder.rehearsal.Network;
 import coveladder.rehearsal.Rehearsal;
+import coveladder.rehearsal.Scenario;
+import coveladder.rehearsal.Scenarios;
 import coveladder.rehearsal.SeedSweep;
 import coveladder.rehearsal.ServiceReport;
-import coveladder.rehearsal.SimWorld;
-import coveladder.rehearsal.SocketWorld;
-import coveladder.rehearsal.Tampering;
-import coveladder.rehearsal.World;
+import coveladder.rehearsal.SimulatedNetwork;
+import coveladder.rehearsal.SocketNetwork;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.List;
@@ -78,16 +78,20 @@
   public Integer call() throws Exception {
     PrintWriter out = spec.commandLine().getOut();
     if (name.equals("list")) {
-      Days.all().values().forEach(day -> out.printf("%-14s %s%n", day.name(), day.about()));
+      Scenarios.all()
+          .values()
+          .forEach(day -> out.printf("%-14s %s%n", day.name(), day.description()));
       out.println("restart        controllers as processes, killed by SIGKILL amid 5,000 calls");
       out.println("region         the same, all of them at once; try --ends 5");
       out.println("upgrade        the same, each taken over by a new process instead");
       return 0;
     }
     if (name.equals("boundaries")) {
-      long boundaryCount = SeedSweep.restarts(Days.boundaries(), seed, -1).lives().boundaries();
+      long boundaryCount =
+          SeedSweep.playWithKillAt(Scenarios.boundaries(), seed, -1).restarts().boundaryCount();
       out.printf("%d boundaries, a kill at each in turn%n", boundaryCount);
-      return sweep(out, SeedSweep.ofBoundaries(Days.boundaries(), seed), 1, (int) boundaryCount);
+      return sweep(
+          out, SeedSweep.ofBoundaries(Scenarios.boundaries(), seed), 1, (int) boundaryCount);
     }
     if (RESTART_MODES.containsKey(name)) {
       RestartRehearsal.Mode mode = RESTART_MODES.get(name);
@@ -96,59 +100,63 @@
     if (seeds > 0) {
       return sweep(out, sweepOfSeeds(), seed, seeds);
     }
-    Day day = name.equals("small") ? Days.small(seed) : Days.all().get(name);
+    Scenario day = name.equals("small") ? Scenarios.small(seed) : Scenarios.all().get(name);
     if (day == null) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
-          "no day '" + name + "'; there are small, " + String.join(", ", Days.all().keySet()));
+          "no day '" + name + "'; there are small, " + String.join(", ", Scenarios.all().keySet()));
     }
-    out.printf("%s (seed %d): %s%n%n", day.name(), seed, day.about());
+    out.printf("%s (seed %d): %s%n%n", day.name(), seed, day.description());
     out.flush();
     return play(out, day);
   }
 
-  private int play(PrintWriter out, Day day) throws IOException {
+  private int play(PrintWriter out, Scenario day) throws IOException {
     long startNanos = System.nanoTime();
-    try (World world = simulated ? new SimWorld(seed) : new SocketWorld(seed)) {
-      Rehearsal.Result result = Rehearsal.play(world, day, seed, Tampering.NONE);
-      out.println(new ServiceReport(result.plan(), result.fates()));
-      out.println(result.verdict());
-      int unfinished = result.calls() - result.fates().size();
+    try (Network world = simulated ? new SimulatedNetwork(seed) : new SocketNetwork(seed)) {
+      Rehearsal.Result result = Rehearsal.play(world, day, seed, FaultInjection.NONE);
+      out.println(new ServiceReport(result.fleetConfig(), result.callResults()));
+      out.println(result.ruleReport());
+      int unfinished = result.plannedCallCount() - result.callResults().size();
       out.printf(
           "%d calls, %d without an end, %d messages, %.1f s%n",
-          result.calls(), unfinished, result.messages(), (System.nanoTime() - startNanos) / 1e9);
-      out.println(result.clean() ? "all rules hold" : "NOT CLEAN");
-      return result.clean() ? 0 : 1;
+          result.plannedCallCount(),
+          unfinished,
+          result.messageCount(),
+          (System.nanoTime() - startNanos) / 1e9);
+      out.println(result.isClean() ? "all rules hold" : "NOT CLEAN");
+      return result.isClean() ? 0 : 1;
     }
   }
 
   private SeedSweep sweepOfSeeds() {
     return switch (name) {
-      case "small" -> SeedSweep.ofDays(Days::small, Tampering.NONE);
+      case "small" -> SeedSweep.ofScenarios(Scenarios::small, FaultInjection.NONE);
       case "restarts" -> SeedSweep.ofRestarts();
-      default -> SeedSweep.ofDays(s -> day(), Tampering.NONE);
+      default -> SeedSweep.ofScenarios(s -> day(), FaultInjection.NONE);
     };
   }
 
   private int sweep(PrintWriter out, SeedSweep sweep, long first, int count)
       throws InterruptedException {
     long startNanos = System.nanoTime();
-    List<SeedSweep.Failing> failing =
-        sweep.play(first, count, Runtime.getRuntime().availableProcessors());
+    List<SeedSweep.FailedRun> failing =
+        sweep.run(first, count, Runtime.getRuntime().availableProcessors());
     double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
-    failing.forEach(failure -> out.printf("number %d:%n%s%n", failure.seed(), failure.what()));
+    failing.forEach(
+        failure -> out.printf("number %d:%n%s%n", failure.seed(), failure.description()));
     out.printf(
         "%d played, %d calls, %.1f s, %.0f a minute; %d failing%n",
-        sweep.played(),
-        sweep.calls(),
+        sweep.runCount(),
+        sweep.callCount(),
         elapsedSeconds,
-        sweep.played() * 60 / elapsedSeconds,
+        sweep.runCount() * 60 / elapsedSeconds,
         failing.size());
     return failing.isEmpty() ? 0 : 1;
   }
 
-  private Day day() {
-    Day day = Days.all().get(name);
+  private Scenario day() {
+    Scenario day = Scenarios.all().get(name);
     if (day == null) {
       throw new IllegalArgumentException("no day '" + name + "'");
     }
--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -2,14 +2,14 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
+import coveladder.rehearsal.ControllerTrafficView;
 import coveladder.rehearsal.Fleet;
-import coveladder.rehearsal.FleetPlan;
-import coveladder.rehearsal.Load;
-import coveladder.rehearsal.OutsideView;
+import coveladder.rehearsal.FleetConfig;
+import coveladder.rehearsal.LoadGenerator;
 import coveladder.rehearsal.Rehearsal;
+import coveladder.rehearsal.RuleReport;
 import coveladder.rehearsal.ServiceReport;
-import coveladder.rehearsal.SocketWorld;
-import coveladder.rehearsal.Verdict;
+import coveladder.rehearsal.SocketNetwork;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
 import coveladder.standin.PlannedCall;
@@ -51,12 +51,12 @@
   private final int endCount;
   private final PrintWriter out;
   private final SplittableRandom random;
-  private final FleetPlan plan;
+  private final FleetConfig plan;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final Map<String, PlannedCall> establishedAtRestart = new TreeMap<>();
   private final List<Double> listeningPausesMillis = new ArrayList<>();
   private final List<Double> downtimesMillis = new ArrayList<>();
-  private SocketWorld world;
+  private SocketNetwork world;
   private Fleet fleet;
 
   /** How controllers are ended and started again. */
@@ -82,15 +82,15 @@
     this.endCount = endCount;
     this.out = out;
     this.random = new SplittableRandom(seed ^ 0xfa11);
-    FleetPlan eightExchanges = FleetPlan.eight();
+    FleetConfig eightExchanges = FleetConfig.eightExchanges();
     this.plan =
-        new FleetPlan(
-            eightExchanges.exchanges(),
-            eightExchanges.trunk(),
-            eightExchanges.rate(),
-            eightExchanges.kinds(),
-            eightExchanges.processor(),
-            eightExchanges.listLateness(),
+        new FleetConfig(
+            eightExchanges.exchangeCount(),
+            eightExchanges.circuitsPerGroup(),
+            eightExchanges.callsPerSecond(),
+            eightExchanges.callClasses(),
+            eightExchanges.processorModel(),
+            eightExchanges.directoryDelayMillis(),
             ANSWER_DELAY_MILLIS,
             eightExchanges.timing());
   }
@@ -103,7 +103,7 @@
     Path folder = Files.createTempDirectory("coveladder-rehearsal");
     Thread shutdownHook = new Thread(this::killAll, "kill");
     Runtime.getRuntime().addShutdownHook(shutdownHook);
-    try (SocketWorld socketWorld = new SocketWorld(seed)) {
+    try (SocketNetwork socketWorld = new SocketNetwork(seed)) {
       world = socketWorld;
       Map<Integer, Hop> addresses = chooseAddresses();
       fleet = new Fleet(world, plan, seed, addresses);
@@ -128,7 +128,7 @@
   private void saveMessages(Path folder) throws IOException {
     try (PrintWriter writer =
         new PrintWriter(Files.newBufferedWriter(folder.resolve(MESSAGE_LOG_NAME), ISO_8859_1))) {
-      world.tap().print(writer);
+      world.recorder().print(writer);
     }
     out.println("logs and wire of this run: " + folder);
   }
@@ -142,7 +142,7 @@
   private Map<Integer, Hop> chooseAddresses() throws IOException {
     Map<Integer, Hop> addresses = new HashMap<>();
     int port = 16_000 + random.nextInt(8_000);
-    while (addresses.size() < plan.exchanges()) {
+    while (addresses.size() < plan.exchangeCount()) {
       port++;
       if (isFree(port)) {
         addresses.put(addresses.size(), new Hop(Transport.UDP, "127.0.0.1", port));
@@ -163,10 +163,10 @@
 
   private void startAll(Path folder, Map<Integer, Hop> addresses)
       throws IOException, InterruptedException {
-    int listPort = world.place("list").port();
-    for (int i = 0; i < plan.exchanges(); i++) {
+    int listPort = world.reserveAddress("list").port();
+    for (int i = 0; i < plan.exchangeCount(); i++) {
       Path settingsFile = folder.resolve("x" + i + ".kdl");
-      int switchPort = world.place(Fleet.switchName(i)).port();
+      int switchPort = world.reserveAddress(Fleet.switchName(i)).port();
       Path stateFolder = folder.resolve("state-" + i);
       Files.writeString(
           settingsFile,
@@ -202,21 +202,21 @@
   // ---- Run ----------------------------------------------------------------------------------
 
   private boolean runLoad(Map<Integer, Hop> addresses) throws IOException, InterruptedException {
-    double durationMillis = 1_000.0 * callCount / (plan.rate() * plan.exchanges());
+    double durationMillis = 1_000.0 * callCount / (plan.callsPerSecond() * plan.exchangeCount());
     double startMillis = world.now() + LOAD_START_MILLIS;
     List<PlannedCall> plannedCalls = new ArrayList<>();
-    for (PlannedCall call : new Load(plan, seed).until(durationMillis)) {
+    for (PlannedCall call : new LoadGenerator(plan, seed).generateUntil(durationMillis)) {
       plannedCalls.add(call.delayedBy(startMillis));
     }
-    fleet.calls(plannedCalls);
+    fleet.setPlannedCalls(plannedCalls);
     Thread restarter = new Thread(() -> restartControllers(startMillis, durationMillis), "ender");
     restarter.start();
-    world.run(
+    world.runUntil(
         startMillis + durationMillis + SETTLE_TIMEOUT_MILLIS,
         () -> world.now() > startMillis + durationMillis && fleet.callers().isDone());
     restarter.join();
-    world.run(world.now() + SETTLE_TIMEOUT_MILLIS, () -> fleet.trunks().busyCircuits() == 0);
-    world.run(world.now() + 1_000, () -> false);
+    world.runUntil(world.now() + SETTLE_TIMEOUT_MILLIS, () -> fleet.trunks().busyCircuits() == 0);
+    world.runUntil(world.now() + 1_000, () -> false);
     return report(addresses, plannedCalls.size());
   }
 
@@ -227,7 +227,7 @@
       for (int i = 0; i < endCount; i++) {
         double atMillis = startMillis + 1_000 + intervalMillis * (i + random.nextDouble() / 2);
         Thread.sleep(Math.max(0, Math.round(atMillis - world.now())));
-        restart(random.nextInt(plan.exchanges()));
+        restart(random.nextInt(plan.exchangeCount()));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -245,7 +245,7 @@
     }
     recordEstablishedCalls(number);
     String name = Fleet.controllerName(number);
-    world.tap().note(world.now(), name, "killed");
+    world.recorder().recordNote(world.now(), name, "killed");
     double endedAt = world.now();
     if (mode == Mode.UPGRADE) {
       listeningPausesMillis.add(controllers.get(number).takeOver());
@@ -254,7 +254,7 @@
       controllers.get(number).launch();
       controllers.get(number).awaitReady();
     }
-    world.tap().note(world.now(), name, "started");
+    world.recorder().recordNote(world.now(), name, "started");
     downtimesMillis.add(world.now() - endedAt);
   }
 
@@ -262,7 +262,7 @@
     double endedAt = world.now();
     for (int i = 0; i < controllers.size(); i++) {
       recordEstablishedCalls(i);
-      world.tap().note(world.now(), Fleet.controllerName(i), "killed");
+      world.recorder().recordNote(world.now(), Fleet.controllerName(i), "killed");
       controllers.get(i).kill();
     }
     for (ControllerProcess controller : controllers) {
@@ -270,7 +270,7 @@
     }
     for (int i = 0; i < controllers.size(); i++) {
       controllers.get(i).awaitReady();
-      world.tap().note(world.now(), Fleet.controllerName(i), "started");
+      world.recorder().recordNote(world.now(), Fleet.controllerName(i), "started");
     }
     downtimesMillis.add(world.now() - endedAt);
   }
@@ -278,7 +278,7 @@
   /** Records the calls that are established through a controller that is about to end. */
   private void recordEstablishedCalls(int number) throws InterruptedException {
     CountDownLatch recorded = new CountDownLatch(1);
-    world.at(
+    world.schedule(
         world.now(),
         "callers",
         () -> {
@@ -295,14 +295,17 @@
 
   private boolean report(Map<Integer, Hop> addresses, int plannedCalls) throws IOException {
     Map<String, Hop> peers = new HashMap<>();
-    peers.put("list", world.place("list"));
-    peers.put("callers", world.place("callers"));
-    for (int i = 0; i < plan.exchanges(); i++) {
-      peers.put(Fleet.switchName(i), world.place(Fleet.switchName(i)));
+    peers.put("list", world.reserveAddress("list"));
+    peers.put("callers", world.reserveAddress("callers"));
+    for (int i = 0; i < plan.exchangeCount(); i++) {
+      peers.put(Fleet.switchName(i), world.reserveAddress(Fleet.switchName(i)));
     }
-    Verdict verdict =
-        Rehearsal.judge(new OutsideView(addresses, peers).with(world.tap().entries()), plan);
-    List<CallResult> results = fleet.fates();
+    RuleReport verdict =
+        Rehearsal.checkRules(
+            new ControllerTrafficView(addresses, peers)
+                .withControllerEntries(world.recorder().entries()),
+            plan);
+    List<CallResult> results = fleet.callResults();
     out.println(new ServiceReport(plan, results));
     out.println(verdict);
     printSurvivors(results);
@@ -313,14 +316,15 @@
     out.printf(
         "%d calls, %d without an end, %d circuits still held%n",
         plannedCalls, unfinished, busyCircuits);
-    boolean clean = verdict.breaches() == 0 && unfinished == 0 && busyCircuits == 0 && errors == 0;
+    boolean clean =
+        verdict.breachCount() == 0 && unfinished == 0 && busyCircuits == 0 && errors == 0;
     out.println(clean ? "all rules hold" : "NOT CLEAN");
     return clean;
   }
 
   private void printSurvivors(List<CallResult> results) {
     out.println("calls that stood when their controller ended:");
-    for (FleetPlan.Kind kind : plan.kinds()) {
+    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
       List<CallResult> classResults =
           results.stream()
               .filter(result -> result.plannedCall().priority().equals(kind.priority()))
--- a/app/src/main/java/coveladder/app/SettingsText.java
+++ b/app/src/main/java/coveladder/app/SettingsText.java
@@ -1,7 +1,7 @@
 package coveladder.app;
 
 import coveladder.rehearsal.Fleet;
-import coveladder.rehearsal.FleetPlan;
+import coveladder.rehearsal.FleetConfig;
 import java.nio.file.Path;
 
 /** Writes the settings document of a controller whose neighbours are stand-ins on this host. */
@@ -18,7 +18,7 @@
    * @param stateFolder folder in which it stores its calls
    */
   static String of(
-      FleetPlan plan,
+      FleetConfig plan,
       int exchange,
       int listenPort,
       int switchPort,
@@ -29,17 +29,20 @@
     text.append("listen port=").append(listenPort).append('\n');
     text.append("domain \"").append(Fleet.domain(exchange)).append("\"\n");
     text.append("exchange number=").append(exchange).append('\n');
-    text.append("fleet controllers=").append(plan.exchanges()).append('\n');
+    text.append("fleet controllers=").append(plan.exchangeCount()).append('\n');
     text.append("switch port=").append(switchPort).append('\n');
     text.append("list port=").append(listPort).append('\n');
     text.append("state folder=\"").append(stateFolder.toAbsolutePath()).append("\"\n");
-    for (FleetPlan.Kind kind : plan.kinds()) {
+    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
       text.append("class \"").append(kind.name()).append("\" worth=").append(kind.worth());
-      text.append(" late=").append(kind.late()).append(" aim=").append(kind.aim());
-      text.append(" give-up=").append(kind.giveUp()).append(" width=").append(kind.width());
-      text.append(" hold=").append(kind.hold());
+      text.append(" late=").append(kind.lateWorth()).append(" aim=").append(kind.aimMillis());
+      text.append(" give-up=")
+          .append(kind.callerTimeoutMillis())
+          .append(" width=")
+          .append(kind.width());
+      text.append(" hold=").append(kind.holdMillis());
       text.append(" priority=\"").append(kind.priority()).append('"');
-      text.append(kind == plan.kinds().get(0) ? " default=#true" : "").append('\n');
+      text.append(kind == plan.callClasses().get(0) ? " default=#true" : "").append('\n');
     }
     return text.append("seed value=").append(exchange + 1).append('\n').toString();
   }
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -5,7 +5,7 @@
 import coveladder.net.SocketNode;
 import coveladder.net.Sockets;
 import coveladder.rehearsal.Fleet;
-import coveladder.rehearsal.FleetPlan;
+import coveladder.rehearsal.FleetConfig;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
 import coveladder.standin.StandinDirectory;
@@ -70,7 +70,7 @@
           .println("--exchanges is 2 to " + MAX_EXCHANGES + ", not " + exchanges);
       return 2;
     }
-    FleetPlan plan = FleetPlan.eight().sized(exchanges, 1);
+    FleetConfig plan = FleetConfig.eightExchanges().withSize(exchanges, 1);
     PrintWriter out = spec.commandLine().getOut();
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("standins", System.nanoTime(), 100_000)) {
@@ -83,7 +83,7 @@
     return 0;
   }
 
-  private void startNodes(Sockets sockets, EventLoop loop, FleetPlan plan) throws IOException {
+  private void startNodes(Sockets sockets, EventLoop loop, FleetConfig plan) throws IOException {
     Map<String, Hop> switchesByDomain = new HashMap<>();
     Map<String, Integer> exchangesByDomain = new HashMap<>();
     List<StandinDirectory.Entry> entries = new ArrayList<>();
@@ -97,12 +97,12 @@
       entries.add(
           new StandinDirectory.Entry("x" + i + "-0", i, domain, switchUri, "in-service", -1));
       for (int j = i + 1; j < exchanges; j++) {
-        trunks.addGroup(i, j, plan.trunk());
+        trunks.addGroup(i, j, plan.circuitsPerGroup());
       }
     }
     SocketNode directoryNode = node(sockets, loop, basePort);
     StandinDirectory directory =
-        new StandinDirectory(directoryNode, plan.timing(), plan.listLateness());
+        new StandinDirectory(directoryNode, plan.timing(), plan.directoryDelayMillis());
     directory.addEntries(entries);
     directoryNode.start(directory);
     for (int i = 0; i < exchanges; i++) {
@@ -114,12 +114,12 @@
   }
 
   private SwitchConfig switchConfig(
-      FleetPlan plan,
+      FleetConfig plan,
       int exchange,
       Map<String, Hop> switchesByDomain,
       Map<String, Integer> exchangesByDomain) {
     Map<String, Integer> widthsByPriority = new HashMap<>();
-    plan.kinds().forEach(kind -> widthsByPriority.put(kind.priority(), kind.width()));
+    plan.callClasses().forEach(kind -> widthsByPriority.put(kind.priority(), kind.width()));
     Hop controller = new Hop(Transport.UDP, HOST, basePort + CONTROLLER_PORT_OFFSET + exchange);
     return new SwitchConfig(
         exchange,
@@ -129,8 +129,8 @@
         exchangesByDomain,
         widthsByPriority,
         Map.of(),
-        plan.answerAfter(),
-        plan.processor(),
+        plan.answerDelayMillis(),
+        plan.processorModel(),
         plan.timing());
   }
 
@@ -138,7 +138,7 @@
     return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, port, port);
   }
 
-  private void writeSettings(FleetPlan plan, PrintWriter out) throws IOException {
+  private void writeSettings(FleetConfig plan, PrintWriter out) throws IOException {
     Files.createDirectories(folder);
     for (int i = 0; i < exchanges; i++) {
       Path file = folder.resolve("x" + i + ".kdl");
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -9,7 +9,7 @@
 import coveladder.net.SocketLimits;
 import coveladder.net.SocketNode;
 import coveladder.net.Sockets;
-import coveladder.rehearsal.FleetPlan;
+import coveladder.rehearsal.FleetConfig;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
 import coveladder.standin.StandinDirectory;
@@ -41,7 +41,7 @@
     SocketNode directoryNode = node();
     SocketNode switchNode = node();
     int controllerPort = freePort();
-    FleetPlan plan = FleetPlan.eight().sized(2, 1);
+    FleetConfig plan = FleetConfig.eightExchanges().withSize(2, 1);
     Transport calleeTransport = Transport.fromName(transport);
     Hop calleeAddress = new Hop(calleeTransport, HOST, callee.port());
     StandinDirectory directory = new StandinDirectory(directoryNode, plan.timing(), 10);
@@ -59,7 +59,7 @@
             Map.of(),
             Map.of(),
             10,
-            plan.processor(),
+            plan.processorModel(),
             plan.timing());
     directoryNode.start(directory);
     switchNode.start(new StandinSwitch(switchNode, switchConfig, trunks));
--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -1,6 +1,6 @@
 package coveladder.rehearsal;
 
-import coveladder.rehearsal.Verdict.Rule;
+import coveladder.rehearsal.RuleReport.Rule;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
   private final Map<String, List<double[]>> freezes = new HashMap<>();
   private final Map<String, List<double[]>> downs = new HashMap<>();
   private final Set<String> unkept = new HashSet<>();
-  private final Verdict verdict = new Verdict();
+  private final RuleReport verdict = new RuleReport();
 
   /**
    * The figures of the rules.
@@ -45,15 +45,15 @@
   }
 
   /** Judges a whole run; it ended at the last entry. */
-  public Verdict judge(List<Tap.Entry> entries) {
+  public RuleReport check(List<MessageRecorder.Entry> entries) {
     double end = 0;
-    for (Tap.Entry entry : entries) {
+    for (MessageRecorder.Entry entry : entries) {
       end = entry.time();
-      if (entry.kind() == Tap.Kind.NOTE) {
+      if (entry.kind() == MessageRecorder.Kind.NOTE) {
         note(entry);
       } else if (controllers.contains(entry.node())) {
         watched.computeIfAbsent(entry.node(), Watched::new).see(entry);
-      } else if (entry.kind() == Tap.Kind.READ && cold.containsKey(entry.node())) {
+      } else if (entry.kind() == MessageRecorder.Kind.READ && cold.containsKey(entry.node())) {
         cold.get(entry.node()).see(entry);
       }
     }
@@ -68,10 +68,10 @@
    * and "started" bound the time that a controller was down, "disk fails" says that it went on
    * without keeping its calls.
    */
-  private void note(Tap.Entry entry) {
+  private void note(MessageRecorder.Entry entry) {
     if (entry.note().startsWith("cold ")) {
       cold.put(entry.node(), new Cold(entry));
-      verdict.look(Rule.COLD_SPARED);
+      verdict.countCheck(Rule.COLD_SPARED);
     } else if (entry.note().startsWith("frozen for ")) {
       double end = entry.time() + Double.parseDouble(entry.note().substring(11));
       freezes
@@ -133,7 +133,7 @@
     private final ArrayDeque<Double> setups = new ArrayDeque<>();
     private boolean pushed;
 
-    Cold(Tap.Entry entry) {
+    Cold(MessageRecorder.Entry entry) {
       name = entry.node();
       started = entry.time();
       String[] parts = entry.note().split(" ");
@@ -142,7 +142,7 @@
       }
     }
 
-    void see(Tap.Entry entry) {
+    void see(MessageRecorder.Entry entry) {
       WireMessage message = WireMessage.read(entry.message());
       double age = entry.time() - started;
       if (message == null || !message.request("INVITE") || age >= figure[2]) {
@@ -156,7 +156,7 @@
       double bears = figure[3] * share * figure[4] / figure[0];
       if (setups.size() > bears && !pushed) {
         pushed = true;
-        verdict.breach(
+        verdict.addBreach(
             Rule.COLD_SPARED,
             name + " got " + setups.size() + " set-ups in a window, bears " + (int) bears);
       }
@@ -222,8 +222,8 @@
       this.name = name;
     }
 
-    void see(Tap.Entry entry) {
-      if (entry.kind() == Tap.Kind.FAILED) {
+    void see(MessageRecorder.Entry entry) {
+      if (entry.kind() == MessageRecorder.Kind.FAILED) {
         lost(entry);
         return;
       }
@@ -231,7 +231,7 @@
       if (message == null) {
         return;
       }
-      if (entry.kind() == Tap.Kind.READ) {
+      if (entry.kind() == MessageRecorder.Kind.READ) {
         read(entry, message);
       } else {
         sent(entry, message);
@@ -240,7 +240,7 @@
 
     // ---- What it read -----------------------------------------------------------------------
 
-    private void read(Tap.Entry entry, WireMessage message) {
+    private void read(MessageRecorder.Entry entry, WireMessage message) {
       if (message.request("INVITE") && message.toTag().isEmpty()) {
         taken(entry, message);
       } else if (message.request("CANCEL") || message.request("BYE")) {
@@ -252,7 +252,7 @@
       }
     }
 
-    private void taken(Tap.Entry entry, WireMessage message) {
+    private void taken(MessageRecorder.Entry entry, WireMessage message) {
       Taken known = byCallId.get(message.callId());
       if (known != null) {
         again(known, entry, message);
@@ -268,7 +268,7 @@
      * An INVITE that comes again to a life of its controller that knows nothing of it is taken
      * then, and with the patience that it bears.
      */
-    private void again(Taken known, Tap.Entry entry, WireMessage message) {
+    private void again(Taken known, MessageRecorder.Entry entry, WireMessage message) {
       boolean nothing = known.tries.isEmpty() || unkept.contains(name);
       boolean forgotten = nothing && known.answer.isEmpty();
       if (forgotten && startedSince(name, known.lastRead, entry.time())) {
@@ -278,12 +278,12 @@
       known.lastRead = entry.time();
     }
 
-    private double until(Tap.Entry entry, WireMessage message) {
+    private double until(MessageRecorder.Entry entry, WireMessage message) {
       double patience = 1000 * Double.parseDouble("0" + message.header("expires"));
-      return patience == 0 ? Double.MAX_VALUE : entry.arrived() + patience;
+      return patience == 0 ? Double.MAX_VALUE : entry.arrivedAt() + patience;
     }
 
-    private void left(Tap.Entry entry, WireMessage message) {
+    private void left(MessageRecorder.Entry entry, WireMessage message) {
       Taken call = byCallId.get(message.callId());
       if (call != null) {
         call.calledOff = true;
@@ -294,7 +294,7 @@
       }
     }
 
-    private void answered(Tap.Entry entry, WireMessage message) {
+    private void answered(MessageRecorder.Entry entry, WireMessage message) {
       Try attempt = tries.get(message.callId());
       if (attempt != null && message.status() < 300) {
         attempt.stands = true;
@@ -304,7 +304,7 @@
       }
     }
 
-    private void lost(Tap.Entry entry) {
+    private void lost(MessageRecorder.Entry entry) {
       for (Try attempt : tries.values()) {
         boolean waits = !attempt.isOver() && !attempt.stands;
         if (waits && attempt.peer.equals(entry.peer().toString())) {
@@ -315,7 +315,7 @@
 
     // ---- What it sent -----------------------------------------------------------------------
 
-    private void sent(Tap.Entry entry, WireMessage message) {
+    private void sent(MessageRecorder.Entry entry, WireMessage message) {
       Try known = tries.get(message.callId());
       if (message.request("INVITE") && message.toTag().isEmpty()) {
         if (known == null) {
@@ -330,15 +330,15 @@
       }
     }
 
-    private void attempt(Tap.Entry entry, WireMessage message) {
+    private void attempt(MessageRecorder.Entry entry, WireMessage message) {
       Taken call = bySession.get(message.session());
       String what = name + " call " + message.session() + " at " + (long) entry.time();
       if (call == null) {
-        verdict.breach(Rule.ONE_OUTCOME, what + ": attempt for a call never taken");
+        verdict.addBreach(Rule.ONE_OUTCOME, what + ": attempt for a call never taken");
         return;
       }
       if (!call.answer.isEmpty()) {
-        verdict.breach(Rule.ONE_OUTCOME, what + ": attempt after the final answer");
+        verdict.addBreach(Rule.ONE_OUTCOME, what + ": attempt after the final answer");
       }
       drains(entry, message, what);
       for (Try earlier : call.tries) {
@@ -350,35 +350,35 @@
     }
 
     private void earlierTry(double now, Try earlier, String what) {
-      verdict.look(Rule.ONE_ATTEMPT);
+      verdict.countCheck(Rule.ONE_ATTEMPT);
       boolean silentForLong = !earlier.stands && now - earlier.sent > figures.life();
       if (!earlier.isOver() && !silentForLong) {
-        verdict.breach(Rule.ONE_ATTEMPT, what + ": the last one is still out");
+        verdict.addBreach(Rule.ONE_ATTEMPT, what + ": the last one is still out");
       }
       if (earlier.isOver() && earlier.unsure) {
-        verdict.look(Rule.RELEASE_AWAITED);
+        verdict.countCheck(Rule.RELEASE_AWAITED);
         if (now - earlier.over < figures.guard() - ROUNDING) {
           long after = Math.round(now - earlier.over);
-          verdict.breach(Rule.RELEASE_AWAITED, what + ": sent " + after + " ms after the last");
+          verdict.addBreach(Rule.RELEASE_AWAITED, what + ": sent " + after + " ms after the last");
         }
       }
     }
 
-    private void drains(Tap.Entry entry, WireMessage message, String what) {
-      verdict.look(Rule.DRAINS_KEPT);
+    private void drains(MessageRecorder.Entry entry, WireMessage message, String what) {
+      verdict.countCheck(Rule.DRAINS_KEPT);
       String[] routes = message.header("route").split(",");
       double since =
           routes.length > 1
               ? list.addressClosed(routes[1].replaceAll(".*<(sip:[^;>]*).*", "$1"))
               : list.domainClosed(message.uri().replaceAll(".*@", ""));
       if (entry.time() - since > figures.grace() + ROUNDING) {
-        verdict.breach(
+        verdict.addBreach(
             Rule.DRAINS_KEPT,
             what + ": to an exchange that drains since " + Math.round(entry.time() - since));
       }
     }
 
-    private void answer(Tap.Entry entry, WireMessage message) {
+    private void answer(MessageRecorder.Entry entry, WireMessage message) {
       Taken call = byCallId.get(message.callId());
       boolean initial = call != null && message.sequence().equals("1");
       if (!initial) {
@@ -386,7 +386,7 @@
       }
       String given = message.status() + " " + message.toTag();
       if (!call.answer.isEmpty() && !call.answer.equals(given)) {
-        verdict.breach(
+        verdict.addBreach(
             Rule.ONE_OUTCOME,
             name + " call " + call.session + ": answered " + given + " after " + call.answer);
       }
@@ -401,7 +401,7 @@
     void finish(double end) {
       for (Taken call : byCallId.values()) {
         if (call.until + figures.slack() < end || !call.answer.isEmpty()) {
-          verdict.look(Rule.ONE_OUTCOME);
+          verdict.countCheck(Rule.ONE_OUTCOME);
           judge(call);
         }
       }
@@ -414,10 +414,10 @@
         return;
       }
       if (call.answer.isEmpty()) {
-        verdict.breach(Rule.ONE_OUTCOME, name + " call " + call.session + ": never answered");
+        verdict.addBreach(Rule.ONE_OUTCOME, name + " call " + call.session + ": never answered");
       } else if (readInTime && !call.calledOff && call.answeredAt > by) {
         long late = Math.round(call.answeredAt - call.until);
-        verdict.breach(
+        verdict.addBreach(
             Rule.ONE_OUTCOME, name + " call " + call.session + ": answered " + late + " ms late");
       }
     }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Lives.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
@@ -16,46 +16,50 @@
  * fall between events, or at a boundary: before a message leaves, after one was taken, before and
  * after a sync takes effect.
  */
-public final class Lives {
+public final class ControllerRestarts {
   private static final double LEAST_SYNC = 0.2;
   private static final double MOST_SYNC = 4;
 
-  private final SimWorld world;
+  private final SimulatedNetwork world;
   private final RecoveryRate.Budget budget;
   private final SplittableRandom random;
   private final UnaryOperator<CallStore> between;
   private final Map<String, SimDisk> disks = new HashMap<>();
   private final Map<String, Integer> armed = new HashMap<>();
   private final Map<String, Boolean> down = new HashMap<>();
-  private final Map<String, PlannedCall> stood = new TreeMap<>();
-  private long boundaries;
-  private long crashAt = -1;
-  private double downFor = 400;
-  private int kills;
+  private final Map<String, PlannedCall> establishedAtKill = new TreeMap<>();
+  private long boundaryCount;
+  private long killAtBoundary = -1;
+  private double downtimeMillis = 400;
+  private int killCount;
   private boolean diskFailed;
   private Fleet fleet;
 
   /** Makes the lives of a fleet that is yet to be built. */
-  public Lives(SimWorld world, RecoveryRate.Budget budget, long seed) {
+  public ControllerRestarts(SimulatedNetwork world, RecoveryRate.Budget budget, long seed) {
     this(world, budget, seed, UnaryOperator.identity());
   }
 
   /** The same with something between controllers and their disks, such as a mutation. */
-  Lives(SimWorld world, RecoveryRate.Budget budget, long seed, UnaryOperator<CallStore> between) {
+  ControllerRestarts(
+      SimulatedNetwork world,
+      RecoveryRate.Budget budget,
+      long seed,
+      UnaryOperator<CallStore> between) {
     this.between = between;
     this.world = world;
     this.budget = budget;
     this.random = new SplittableRandom(seed);
-    world.boundaries(this::passed, this::crashed);
+    world.onBoundary(this::passed, this::crashed);
   }
 
   /** Names the fleet whose controllers they are. */
-  void of(Fleet own) {
+  void setFleet(Fleet own) {
     fleet = own;
   }
 
   /** Where a controller keeps its calls, put into the machine that it is to run on. */
-  SipFront.Persistence keeping(String name, SipHost host) {
+  SipFront.Persistence persistence(String name, SipHost host) {
     SimDisk disk =
         disks.computeIfAbsent(
             name, n -> new SimDisk(random.split(), LEAST_SYNC, MOST_SYNC, () -> passed(n)));
@@ -69,23 +73,23 @@
     if (!disks.containsKey(node) || down.getOrDefault(node, false)) {
       return;
     }
-    boundaries++;
+    boundaryCount++;
     int left = armed.getOrDefault(node, 0);
     if (left > 0) {
       armed.put(node, left - 1);
     }
-    if (left == 1 || boundaries == crashAt) {
-      throw new SimWorld.Crash(node);
+    if (left == 1 || boundaryCount == killAtBoundary) {
+      throw new SimulatedNetwork.Crash(node);
     }
   }
 
   /** Kills some controller at this boundary, counted over all controllers from the beginning. */
-  public void crashAt(long boundary) {
-    crashAt = boundary;
+  public void killAtBoundary(long boundary) {
+    killAtBoundary = boundary;
   }
 
   /** Kills a controller at its so manieth boundary from now on. */
-  public void arm(int number, int boundary) {
+  public void killAfterBoundaries(int number, int boundary) {
     armed.put(Fleet.controllerName(number), boundary);
   }
 
@@ -99,20 +103,20 @@
   }
 
   private void crashed(String name) {
-    kills++;
+    killCount++;
     fleet
         .callers()
         .establishedCalls(number(name))
-        .forEach(plan -> stood.put(plan.sessionIdPrefix(), plan));
+        .forEach(plan -> establishedAtKill.put(plan.sessionIdPrefix(), plan));
     armed.remove(name);
     down.put(name, true);
     disks.get(name).crash();
-    world.at(world.now() + downFor, name, () -> start(name));
+    world.schedule(world.now() + downtimeMillis, name, () -> start(name));
   }
 
   private void start(String name) {
     down.put(name, false);
-    fleet.startAgain(number(name));
+    fleet.restartController(number(name));
   }
 
   private static int number(String name) {
@@ -120,27 +124,27 @@
   }
 
   /** Calls that stood at some kill of their controller, by session. */
-  public Map<String, PlannedCall> stood() {
-    return stood;
+  public Map<String, PlannedCall> establishedAtKill() {
+    return establishedAtKill;
   }
 
   /** How long controllers stay down from now on, ms. */
-  public void downFor(double lasts) {
-    downFor = lasts;
+  public void setDowntimeMillis(double lasts) {
+    downtimeMillis = lasts;
   }
 
   /** Makes a controller's disk fail, or work again. */
-  public void diskFails(int number, boolean on) {
+  public void setDiskFailing(int number, boolean on) {
     if (on) {
       diskFailed = true;
-      world.tap().note(world.now(), Fleet.controllerName(number), "disk fails");
+      world.recorder().recordNote(world.now(), Fleet.controllerName(number), "disk fails");
     }
     disks.get(Fleet.controllerName(number)).failing(on);
   }
 
   /** Boundaries passed so far by all controllers. */
-  public long boundaries() {
-    return boundaries;
+  public long boundaryCount() {
+    return boundaryCount;
   }
 
   /** Whether any disk failed: calls went on unkept, and some may be held for ever. */
@@ -149,7 +153,7 @@
   }
 
   /** Kills so far. */
-  public int kills() {
-    return kills;
+  public int killCount() {
+    return killCount;
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -28,75 +28,80 @@
 public final class Fleet {
   private static final String CREW = "standins";
 
-  private final World world;
-  private final FleetPlan plan;
+  private final Network world;
+  private final FleetConfig config;
   private final long seed;
-  private final Tampering tampering;
-  private final Lives lives;
+  private final FaultInjection tampering;
+  private final ControllerRestarts restarts;
   private final TrunkNetwork trunks = new TrunkNetwork();
   private final Map<Integer, SipFront> controllers = new TreeMap<>();
   private final Map<Integer, StandinSwitch> switches = new TreeMap<>();
   private final Map<Integer, StandinDirectory.Entry> lines = new TreeMap<>();
   private final Map<Integer, Hop> controllerPlaces = new LinkedHashMap<>();
-  private final List<StandinCallers.CallResult> fates =
+  private final List<StandinCallers.CallResult> callResults =
       Collections.synchronizedList(new ArrayList<>());
   private StandinDirectory list;
   private StandinCallers callers;
   private int generation;
 
   /** Builds a fleet; time has not begun yet. */
-  public Fleet(World world, FleetPlan plan, long seed, Tampering tampering) {
+  public Fleet(Network world, FleetConfig plan, long seed, FaultInjection tampering) {
     this(world, plan, seed, tampering, null);
   }
 
   /** Builds all but the controllers, which run as processes of their own at these places. */
-  public Fleet(World world, FleetPlan plan, long seed, Map<Integer, Hop> outside) {
-    this(world, plan, seed, Tampering.NONE, null, outside);
+  public Fleet(Network world, FleetConfig plan, long seed, Map<Integer, Hop> outside) {
+    this(world, plan, seed, FaultInjection.NONE, null, outside);
   }
 
   /** Builds a fleet whose controllers keep their calls and can be killed; null lives: not so. */
-  public Fleet(World world, FleetPlan plan, long seed, Tampering tampering, Lives lives) {
+  public Fleet(
+      Network world,
+      FleetConfig plan,
+      long seed,
+      FaultInjection tampering,
+      ControllerRestarts lives) {
     this(world, plan, seed, tampering, lives, Map.of());
   }
 
   private Fleet(
-      World world,
-      FleetPlan plan,
+      Network world,
+      FleetConfig plan,
       long seed,
-      Tampering tampering,
-      Lives lives,
+      FaultInjection tampering,
+      ControllerRestarts lives,
       Map<Integer, Hop> outside) {
-    this.lives = lives;
+    this.restarts = lives;
     this.world = world;
-    this.plan = plan;
+    this.config = plan;
     this.seed = seed;
     this.tampering = tampering;
     layTrunks();
     place(outside);
     addStandins();
     if (lives != null) {
-      lives.of(this);
+      lives.setFleet(this);
     }
-    for (int i = 0; i < plan.exchanges() && outside.isEmpty(); i++) {
+    for (int i = 0; i < plan.exchangeCount() && outside.isEmpty(); i++) {
       addController(i);
     }
   }
 
   private void layTrunks() {
-    for (int i = 0; i < plan.exchanges(); i++) {
-      for (int j = i + 1; j < plan.exchanges(); j++) {
-        trunks.addGroup(i, j, plan.trunk());
+    for (int i = 0; i < config.exchangeCount(); i++) {
+      for (int j = i + 1; j < config.exchangeCount(); j++) {
+        trunks.addGroup(i, j, config.circuitsPerGroup());
       }
     }
   }
 
   private void place(Map<Integer, Hop> outside) {
-    world.place("list");
-    world.place("callers");
-    for (int i = 0; i < plan.exchanges(); i++) {
-      world.place(switchName(i));
+    world.reserveAddress("list");
+    world.reserveAddress("callers");
+    for (int i = 0; i < config.exchangeCount(); i++) {
+      world.reserveAddress(switchName(i));
       Hop own = outside.get(i);
-      controllerPlaces.put(i, own == null ? world.place(controllerName(i)) : own);
+      controllerPlaces.put(i, own == null ? world.reserveAddress(controllerName(i)) : own);
     }
   }
 
@@ -117,12 +122,14 @@
 
   private void addStandins() {
     list =
-        world.add(
-            "list", CREW, host -> new StandinDirectory(host, plan.timing(), plan.listLateness()));
+        world.addNode(
+            "list",
+            CREW,
+            host -> new StandinDirectory(host, config.timing(), config.directoryDelayMillis()));
     Map<String, Hop> places = new HashMap<>();
     Map<String, Integer> numbers = new HashMap<>();
-    for (int i = 0; i < plan.exchanges(); i++) {
-      Hop place = world.place(switchName(i));
+    for (int i = 0; i < config.exchangeCount(); i++) {
+      Hop place = world.reserveAddress(switchName(i));
       places.put(domain(i), place);
       numbers.put(domain(i), i);
       String address = "sip:" + place.host() + ':' + place.port();
@@ -130,23 +137,26 @@
           i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), address, "in-service", -1));
     }
     list.addEntries(List.copyOf(lines.values()));
-    for (int i = 0; i < plan.exchanges(); i++) {
+    for (int i = 0; i < config.exchangeCount(); i++) {
       SwitchConfig switchPlan = switchPlan(i, places, numbers);
       switches.put(
-          i, world.add(switchName(i), CREW, host -> new StandinSwitch(host, switchPlan, trunks)));
+          i,
+          world.addNode(switchName(i), CREW, host -> new StandinSwitch(host, switchPlan, trunks)));
     }
     StandinCallers.Behaviour habits = new StandinCallers.Behaviour(600, 0.5, 400);
     callers =
-        world.add(
+        world.addNode(
             "callers",
             CREW,
-            host -> new StandinCallers(host, plan.timing(), controllerPlaces, habits, fates::add));
+            host ->
+                new StandinCallers(
+                    host, config.timing(), controllerPlaces, habits, callResults::add));
   }
 
   private SwitchConfig switchPlan(
       int number, Map<String, Hop> places, Map<String, Integer> numbers) {
     Map<String, Integer> widths = new HashMap<>();
-    plan.kinds().forEach(kind -> widths.put(kind.priority(), kind.width()));
+    config.callClasses().forEach(kind -> widths.put(kind.priority(), kind.width()));
     return new SwitchConfig(
         number,
         domain(number),
@@ -155,31 +165,31 @@
         numbers,
         widths,
         Map.of("5550000", 3),
-        plan.answerAfter(),
-        plan.processor(),
-        plan.timing());
+        config.answerDelayMillis(),
+        config.processorModel(),
+        config.timing());
   }
 
   private void addController(int number) {
-    CallPolicy.Settings rules = plan.rules(number);
+    CallPolicy.Settings rules = config.policySettings(number);
     FrontSettings settings = frontSettings(number);
     SipFront front =
-        world.add(
+        world.addNode(
             controllerName(number),
             controllerName(number),
-            host -> front(tampering.host().apply(host), settings, rules));
+            host -> front(tampering.hostWrapper().apply(host), settings, rules));
     controllers.put(number, front);
   }
 
   /** A controller that was killed starts, from what its disk holds. */
-  void startAgain(int number) {
-    CallPolicy.Settings rules = plan.rules(number);
+  void restartController(int number) {
+    CallPolicy.Settings rules = config.policySettings(number);
     FrontSettings settings = frontSettings(number);
     SipFront front =
-        ((SimWorld) world)
-            .revive(
+        ((SimulatedNetwork) world)
+            .restartNode(
                 controllerName(number),
-                host -> front(tampering.host().apply(host), settings, rules));
+                host -> front(tampering.hostWrapper().apply(host), settings, rules));
     controllers.put(number, front);
   }
 
@@ -189,43 +199,47 @@
         host,
         settings,
         rules,
-        tampering.guard().get(),
+        tampering.guardFactory().get(),
         CallController.Observer.NONE,
-        tampering.maker(rules, own),
-        lives == null ? null : lives.keeping(controllerName(rules.localExchange()), host));
+        tampering.policyFactoryFor(rules, own),
+        restarts == null
+            ? null
+            : restarts.persistence(controllerName(rules.localExchange()), host));
   }
 
   private FrontSettings frontSettings(int number) {
-    List<String> names = plan.kinds().stream().map(FleetPlan.Kind::name).toList();
-    List<String> priorities = plan.kinds().stream().map(FleetPlan.Kind::priority).toList();
+    List<String> names =
+        config.callClasses().stream().map(FleetConfig.CallClassConfig::name).toList();
+    List<String> priorities =
+        config.callClasses().stream().map(FleetConfig.CallClassConfig::priority).toList();
     Transport toSwitch = number % 2 == 0 ? Transport.TCP : Transport.UDP;
     return new FrontSettings(
         domain(number),
-        world.place(switchName(number)).withTransport(toSwitch),
-        world.place("list").withTransport(Transport.TCP),
+        world.reserveAddress(switchName(number)).withTransport(toSwitch),
+        world.reserveAddress("list").withTransport(Transport.TCP),
         new ClassTable(names, priorities, List.of(), 0),
         3000,
-        FleetPlan.ANSWER_MARGIN,
+        FleetConfig.ANSWER_MARGIN_MILLIS,
         100_000,
         1,
-        plan.timing(),
+        config.timing(),
         SipStack.Limits.DEFAULT);
   }
 
   // ---- What scripts do ----------------------------------------------------------------------
 
   /** Sets the calls to be made. */
-  public void calls(List<PlannedCall> plans) {
+  public void setPlannedCalls(List<PlannedCall> plans) {
     callers.setPlannedCalls(plans);
   }
 
   /** What kills controllers and starts them again; null where that is not part of the day. */
-  public Lives lives() {
-    return lives;
+  public ControllerRestarts restarts() {
+    return restarts;
   }
 
   /** A switch. */
-  public StandinSwitch exchange(int number) {
+  public StandinSwitch switchOf(int number) {
     return switches.get(number);
   }
 
@@ -245,13 +259,13 @@
   }
 
   /** The plan. */
-  public FleetPlan plan() {
-    return plan;
+  public FleetConfig config() {
+    return config;
   }
 
   /** What became of each call that is over. */
-  public List<StandinCallers.CallResult> fates() {
-    return List.copyOf(fates);
+  public List<StandinCallers.CallResult> callResults() {
+    return List.copyOf(callResults);
   }
 
   /** The list says that an exchange drains. On the stand-ins' thread. */
@@ -263,7 +277,7 @@
   public void stop(int number) {
     switches.get(number).disconnectAll();
     switches.get(number).stop();
-    world.reachable(switchName(number), false);
+    world.setReachable(switchName(number), false);
   }
 
   /** A new processor takes the place of one that stopped; it begins cold. */
@@ -279,10 +293,10 @@
             "in-service",
             world.now());
     lines.put(number, fresh);
-    Processor.Model model = plan.processor();
+    Processor.Model model = config.processorModel();
     world
-        .tap()
-        .note(
+        .recorder()
+        .recordNote(
             world.now(),
             switchName(number),
             "cold "
@@ -295,7 +309,7 @@
                 + model.coldMultiple()
                 + ' '
                 + model.coldWindowMillis());
-    world.reachable(switchName(number), true);
+    world.setReachable(switchName(number), true);
     switches.get(number).startCold();
     list.scheduleUpdate(List.of(old.withState("gone"), fresh));
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Tap.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/MessageRecorder.java
@@ -13,7 +13,7 @@
  * Everything that crossed the wire, as seen at each node: what the checker judges from. Safe for
  * several threads; bounded in records.
  */
-public final class Tap {
+public final class MessageRecorder {
   private static final int MOST = 20_000_000;
 
   private final List<Entry> entries = new ArrayList<>();
@@ -38,7 +38,7 @@
    * @param node the node's name
    * @param kind what it is of
    * @param peer the other side; null for notes
-   * @param arrived clock at which a message that was read had arrived, ms
+   * @param arrivedAt clock at which a message that was read had arrived, ms
    * @param message the message, or null
    * @param failure the failure, or null
    * @param note what the script did, or null
@@ -48,28 +48,28 @@
       String node,
       Kind kind,
       Hop peer,
-      double arrived,
+      double arrivedAt,
       byte[] message,
       Failure failure,
       String note) {}
 
   /** Writes down that a message left. */
-  public void sent(double time, String node, Hop peer, byte[] message) {
+  public void recordSent(double time, String node, Hop peer, byte[] message) {
     add(new Entry(time, node, Kind.SENT, peer, time, message, null, null));
   }
 
   /** Writes down that a message was read. */
-  public void read(double time, String node, Hop peer, double arrived, byte[] message) {
+  public void recordRead(double time, String node, Hop peer, double arrived, byte[] message) {
     add(new Entry(time, node, Kind.READ, peer, arrived, message, null, null));
   }
 
   /** Writes down that a connection failed. */
-  public void failed(double time, String node, Hop peer, Failure failure) {
+  public void recordFailure(double time, String node, Hop peer, Failure failure) {
     add(new Entry(time, node, Kind.FAILED, peer, time, null, failure, null));
   }
 
   /** Writes down what the script did to a node. */
-  public void note(double time, String node, String note) {
+  public void recordNote(double time, String node, String note) {
     add(new Entry(time, node, Kind.NOTE, null, time, null, null, note));
   }
 
--- a/rehearsal/src/main/java/coveladder/rehearsal/World.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Network.java
@@ -7,41 +7,41 @@
 import java.util.function.Function;
 
 /** A network with nodes on it, on sockets or simulated. Scripts run alike in both. */
-public interface World extends AutoCloseable {
+public interface Network extends AutoCloseable {
 
   /** Keeps an address for a node; UDP and TCP share its port. */
-  Hop place(String name);
+  Hop reserveAddress(String name);
 
   /**
    * Puts a node on its address.
    *
    * @param crew nodes of one crew share one thread
    */
-  <N extends SipNode> N add(String name, String crew, Function<SipHost, N> maker);
+  <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker);
 
   /** Does something to a node, on its thread, at a clock time in milliseconds. */
-  void at(double time, String name, Runnable action);
+  void schedule(double time, String name, Runnable action);
 
   /** Stops a node from reading, sending and timing for so long, ms; what comes meanwhile waits. */
   void freeze(String name, double lasts);
 
   /** Takes a node off the network, its connections reset; or puts it back. */
-  void reachable(String name, boolean on);
+  void setReachable(String name, boolean on);
 
   /** Resets all stream connections of a node. */
   void resetConnections(String name);
 
   /** What the network does to messages from now on. */
-  void conditions(Conditions conditions);
+  void setConditions(Conditions conditions);
 
   /** Lets time go on until the clock, or until all is done, whichever is first. */
-  void run(double until, BooleanSupplier done);
+  void runUntil(double until, BooleanSupplier done);
 
   /** The clock, ms from the world's beginning. */
   double now();
 
   /** What crossed the wire. */
-  Tap tap();
+  MessageRecorder recorder();
 
   @Override
   void close();
@@ -49,13 +49,15 @@
   /**
    * What a network does to messages.
    *
-   * @param least least time on the way, ms
-   * @param most longest time on the way, ms; datagrams with different times overtake each other
-   * @param lost share of datagrams that are lost
-   * @param repeated share of datagrams that come twice
+   * @param minDelayMillis least time on the way, ms
+   * @param maxDelayMillis longest time on the way, ms; datagrams with different times overtake each
+   *     other
+   * @param lossRate share of datagrams that are lost
+   * @param duplicationRate share of datagrams that come twice
    */
-  record Conditions(double least, double most, double lost, double repeated) {
+  record Conditions(
+      double minDelayMillis, double maxDelayMillis, double lossRate, double duplicationRate) {
     /** A sound network. */
-    public static final Conditions SOUND = new Conditions(0.2, 1, 0, 0);
+    public static final Conditions NORMAL = new Conditions(0.2, 1, 0, 0);
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -18,69 +18,74 @@
   /**
    * What came of a day.
    *
-   * @param verdict the checker's verdict
-   * @param calls calls that were to be made
-   * @param fates what became of each
-   * @param messages messages on the wire
-   * @param circuitsHeld circuits still busy when all was over
-   * @param plan the fleet
-   * @param lives kills, and what became of calls that stood; null where nothing was killed
+   * @param ruleReport the checker's verdict
+   * @param plannedCallCount calls that were to be made
+   * @param callResults what became of each
+   * @param messageCount messages on the wire
+   * @param busyCircuits circuits still busy when all was over
+   * @param fleetConfig the fleet
+   * @param restarts kills, and what became of calls that stood; null where nothing was killed
    */
   public record Result(
-      Verdict verdict,
-      int calls,
-      List<CallResult> fates,
-      long messages,
-      int circuitsHeld,
-      FleetPlan plan,
-      Lives lives) {
+      RuleReport ruleReport,
+      int plannedCallCount,
+      List<CallResult> callResults,
+      long messageCount,
+      int busyCircuits,
+      FleetConfig fleetConfig,
+      ControllerRestarts restarts) {
 
     /** Whether all rules hold and every call came to its end. */
-    public boolean clean() {
-      boolean settled = lives == null || lives.diskFailed() || circuitsHeld == 0;
-      return verdict.breaches() == 0 && fates.size() == calls && settled;
+    public boolean isClean() {
+      boolean settled = restarts == null || restarts.diskFailed() || busyCircuits == 0;
+      return ruleReport.breachCount() == 0 && callResults.size() == plannedCallCount && settled;
     }
   }
 
   /** Plays a day to its end. */
-  public static Result play(World world, Day day, long seed, Tampering tampering) {
+  public static Result play(Network world, Scenario day, long seed, FaultInjection tampering) {
     return play(world, day, seed, tampering, null);
   }
 
   /** Has judged what crossed the wire of a fleet. */
-  public static Verdict judge(List<Tap.Entry> entries, FleetPlan plan) {
+  public static RuleReport checkRules(List<MessageRecorder.Entry> entries, FleetConfig plan) {
     double life = plan.timing().transactionTimeout();
     Checker.Figures figures =
-        new Checker.Figures(FleetPlan.GUARD, FleetPlan.GRACE, SLACK, life, RESUMES);
+        new Checker.Figures(
+            FleetConfig.GUARD_TIME_MILLIS, FleetConfig.DRAIN_GRACE_MILLIS, SLACK, life, RESUMES);
     Set<String> controllers = new TreeSet<>();
-    for (int i = 0; i < plan.exchanges(); i++) {
+    for (int i = 0; i < plan.exchangeCount(); i++) {
       controllers.add(Fleet.controllerName(i));
     }
-    return new Checker(figures, controllers).judge(entries);
+    return new Checker(figures, controllers).check(entries);
   }
 
   /** Plays a day in virtual time whose controllers keep their calls and are killed. */
-  public static Result playLives(SimWorld world, Day day, long seed, Lives lives) {
-    return play(world, day, seed, Tampering.NONE, lives);
+  public static Result playWithRestarts(
+      SimulatedNetwork world, Scenario day, long seed, ControllerRestarts lives) {
+    return play(world, day, seed, FaultInjection.NONE, lives);
   }
 
   /** The same with something in between, such as a mutation. */
-  static Result play(World world, Day day, long seed, Tampering tampering, Lives lives) {
-    Fleet fleet = new Fleet(world, day.plan(), seed, tampering, lives);
-    List<PlannedCall> calls = day.load().apply(seed).until(day.lasts());
-    fleet.calls(calls);
+  static Result play(
+      Network world, Scenario day, long seed, FaultInjection tampering, ControllerRestarts lives) {
+    Fleet fleet = new Fleet(world, day.fleetConfig(), seed, tampering, lives);
+    List<PlannedCall> calls = day.load().apply(seed).generateUntil(day.durationMillis());
+    fleet.setPlannedCalls(calls);
     day.script().accept(world, fleet);
-    world.run(day.lasts() + SETTLE, () -> world.now() > day.lasts() && fleet.callers().isDone());
-    world.run(world.now() + (lives == null ? 2_000 : LET_GO), () -> false);
-    List<Tap.Entry> entries = world.tap().entries();
-    Verdict verdict = judge(entries, day.plan());
+    world.runUntil(
+        day.durationMillis() + SETTLE,
+        () -> world.now() > day.durationMillis() && fleet.callers().isDone());
+    world.runUntil(world.now() + (lives == null ? 2_000 : LET_GO), () -> false);
+    List<MessageRecorder.Entry> entries = world.recorder().entries();
+    RuleReport verdict = checkRules(entries, day.fleetConfig());
     return new Result(
         verdict,
         calls.size(),
-        fleet.fates(),
-        entries.stream().filter(e -> e.kind() == Tap.Kind.SENT).count(),
+        fleet.callResults(),
+        entries.stream().filter(e -> e.kind() == MessageRecorder.Kind.SENT).count(),
         fleet.trunks().busyCircuits(),
-        day.plan(),
+        day.fleetConfig(),
         lives);
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Verdict.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /** What the checker found: for each rule how much was looked at and what broke it. */
-public final class Verdict {
+public final class RuleReport {
   private static final int KEPT = 20;
 
-  private final Map<Rule, List<String>> breaches = new EnumMap<>(Rule.class);
-  private final Map<Rule, Long> looked = new EnumMap<>(Rule.class);
+  private final Map<Rule, List<String>> breachCount = new EnumMap<>(Rule.class);
+  private final Map<Rule, Long> checkCount = new EnumMap<>(Rule.class);
   private final Map<Rule, Long> broken = new EnumMap<>(Rule.class);
 
   /** The five rules of the brief. */
@@ -28,37 +28,37 @@
   }
 
   /** Counts one thing that a rule was applied to. */
-  void look(Rule rule) {
-    looked.merge(rule, 1L, Long::sum);
+  void countCheck(Rule rule) {
+    checkCount.merge(rule, 1L, Long::sum);
   }
 
   /** Writes a breach down. */
-  void breach(Rule rule, String what) {
+  void addBreach(Rule rule, String what) {
     broken.merge(rule, 1L, Long::sum);
-    List<String> texts = breaches.computeIfAbsent(rule, r -> new ArrayList<>());
+    List<String> texts = breachCount.computeIfAbsent(rule, r -> new ArrayList<>());
     if (texts.size() < KEPT) {
       texts.add(what);
     }
   }
 
   /** Breaches of a rule. */
-  public long breaches(Rule rule) {
+  public long breachCount(Rule rule) {
     return broken.getOrDefault(rule, 0L);
   }
 
   /** Breaches of all rules. */
-  public long breaches() {
+  public long breachCount() {
     return broken.values().stream().mapToLong(Long::longValue).sum();
   }
 
   /** How often a rule was applied. */
-  public long looked(Rule rule) {
-    return looked.getOrDefault(rule, 0L);
+  public long checkCount(Rule rule) {
+    return checkCount.getOrDefault(rule, 0L);
   }
 
   /** The first breaches of a rule, in words. */
-  public List<String> texts(Rule rule) {
-    return breaches.getOrDefault(rule, List.of());
+  public List<String> breachTexts(Rule rule) {
+    return breachCount.getOrDefault(rule, List.of());
   }
 
   @Override
@@ -67,8 +67,9 @@
     for (Rule rule : Rule.values()) {
       String word = rule.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
       out.append(
-          String.format("%-16s %8d looked at  %6d broken%n", word, looked(rule), breaches(rule)));
-      texts(rule).forEach(text -> out.append("    ").append(text).append('\n'));
+          String.format(
+              "%-16s %8d looked at  %6d broken%n", word, checkCount(rule), breachCount(rule)));
+      breachTexts(rule).forEach(text -> out.append("    ").append(text).append('\n'));
     }
     return out.toString();
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
@@ -19,17 +19,17 @@
   private static final RecoveryRate.Budget BUDGET = new RecoveryRate.Budget(200, 300);
 
   private final LongFunction<Rehearsal.Result> player;
-  private final List<Failing> failing = Collections.synchronizedList(new ArrayList<>());
-  private final AtomicLong calls = new AtomicLong();
-  private final AtomicInteger played = new AtomicInteger();
+  private final List<FailedRun> failing = Collections.synchronizedList(new ArrayList<>());
+  private final AtomicLong callCount = new AtomicLong();
+  private final AtomicInteger runCount = new AtomicInteger();
 
   /**
    * A seed whose day broke a rule, lost a call, or threw.
    *
    * @param seed the seed
-   * @param what what came of it
+   * @param description what came of it
    */
-  public record Failing(long seed, String what) {}
+  public record FailedRun(long seed, String description) {}
 
   /** Makes a sweep of what is played for each number. */
   private SeedSweep(LongFunction<Rehearsal.Result> player) {
@@ -37,10 +37,10 @@
   }
 
   /** A sweep over the day of each seed. */
-  public static SeedSweep ofDays(LongFunction<Day> days, Tampering tampering) {
+  public static SeedSweep ofScenarios(LongFunction<Scenario> days, FaultInjection tampering) {
     return new SeedSweep(
         seed -> {
-          try (World world = new SimWorld(seed)) {
+          try (Network world = new SimulatedNetwork(seed)) {
             return Rehearsal.play(world, days.apply(seed), seed, tampering);
           }
         });
@@ -48,25 +48,25 @@
 
   /** A sweep over seeds whose controllers are killed and whose disks fail as the seed draws. */
   public static SeedSweep ofRestarts() {
-    return new SeedSweep(seed -> restarts(Days.restarts(seed), seed, -1));
+    return new SeedSweep(seed -> playWithKillAt(Scenarios.restarts(seed), seed, -1));
   }
 
   /** A sweep over one day that is played with a kill at each boundary, by its number. */
-  public static SeedSweep ofBoundaries(Day day, long seed) {
-    return new SeedSweep(boundary -> restarts(day, seed, boundary));
+  public static SeedSweep ofBoundaries(Scenario day, long seed) {
+    return new SeedSweep(boundary -> playWithKillAt(day, seed, boundary));
   }
 
   /** Plays a day whose controllers keep their calls; a kill at a boundary, or at none. */
-  public static Rehearsal.Result restarts(Day day, long seed, long boundary) {
-    try (SimWorld world = new SimWorld(seed)) {
-      Lives lives = new Lives(world, BUDGET, seed);
-      lives.crashAt(boundary);
-      return Rehearsal.playLives(world, day, seed, lives);
+  public static Rehearsal.Result playWithKillAt(Scenario day, long seed, long boundary) {
+    try (SimulatedNetwork world = new SimulatedNetwork(seed)) {
+      ControllerRestarts lives = new ControllerRestarts(world, BUDGET, seed);
+      lives.killAtBoundary(boundary);
+      return Rehearsal.playWithRestarts(world, day, seed, lives);
     }
   }
 
   /** Plays so many seeds from the first on; returns the failing ones in order. */
-  public List<Failing> play(long first, int count, int threads) throws InterruptedException {
+  public List<FailedRun> run(long first, int count, int threads) throws InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     for (long seed = first; seed < first + count; seed++) {
       long own = seed;
@@ -76,7 +76,7 @@
     if (!pool.awaitTermination(2, TimeUnit.HOURS)) {
       pool.shutdownNow();
     }
-    List<Failing> found = new ArrayList<>(failing);
+    List<FailedRun> found = new ArrayList<>(failing);
     found.sort((a, b) -> Long.compare(a.seed(), b.seed()));
     return found;
   }
@@ -84,25 +84,25 @@
   private void one(long seed) {
     try {
       Rehearsal.Result result = player.apply(seed);
-      calls.addAndGet(result.calls());
-      if (!result.clean()) {
-        int missing = result.calls() - result.fates().size();
+      callCount.addAndGet(result.plannedCallCount());
+      if (!result.isClean()) {
+        int missing = result.plannedCallCount() - result.callResults().size();
         String open = " calls without end: " + missing + ", circuits held: ";
-        failing.add(new Failing(seed, result.verdict() + open + result.circuitsHeld()));
+        failing.add(new FailedRun(seed, result.ruleReport() + open + result.busyCircuits()));
       }
     } catch (RuntimeException e) {
-      failing.add(new Failing(seed, "threw " + e + " at " + e.getStackTrace()[0]));
+      failing.add(new FailedRun(seed, "threw " + e + " at " + e.getStackTrace()[0]));
     }
-    played.incrementAndGet();
+    runCount.incrementAndGet();
   }
 
   /** Calls made so far. */
-  public long calls() {
-    return calls.get();
+  public long callCount() {
+    return callCount.get();
   }
 
   /** Seeds played so far. */
-  public int played() {
-    return played.get();
+  public int runCount() {
+    return runCount.get();
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
@@ -6,11 +6,11 @@
 
 /** Service by class: the worth of calls that stood in time and were not cut, over that offered. */
 public final class ServiceReport {
-  private final FleetPlan plan;
+  private final FleetConfig plan;
   private final List<CallResult> fates;
 
   /** Makes a report. */
-  public ServiceReport(FleetPlan plan, List<CallResult> fates) {
+  public ServiceReport(FleetConfig plan, List<CallResult> fates) {
     this.plan = plan;
     this.fates = fates;
   }
@@ -19,7 +19,7 @@
   public double service() {
     double offered = 0;
     double served = 0;
-    for (FleetPlan.Kind kind : plan.kinds()) {
+    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
       List<CallResult> own = of(kind);
       offered += kind.worth() * own.size();
       served += kind.worth() * own.stream().mapToDouble(fate -> earned(kind, fate)).sum();
@@ -28,20 +28,20 @@
   }
 
   /** Share of a class's calls, late ones by what they still earn. */
-  public double service(FleetPlan.Kind kind) {
+  public double service(FleetConfig.CallClassConfig kind) {
     List<CallResult> own = of(kind);
     return own.stream().mapToDouble(fate -> earned(kind, fate)).sum() / own.size();
   }
 
-  private List<CallResult> of(FleetPlan.Kind kind) {
+  private List<CallResult> of(FleetConfig.CallClassConfig kind) {
     return fates.stream().filter(f -> f.plannedCall().priority().equals(kind.priority())).toList();
   }
 
-  private static double earned(FleetPlan.Kind kind, CallResult fate) {
+  private static double earned(FleetConfig.CallClassConfig kind, CallResult fate) {
     if (fate.establishedAfterMillis() < 0 || fate.disconnected()) {
       return 0;
     }
-    return fate.establishedAfterMillis() <= kind.aim() ? 1 : kind.late();
+    return fate.establishedAfterMillis() <= kind.aimMillis() ? 1 : kind.lateWorth();
   }
 
   @Override
@@ -49,7 +49,7 @@
     StringBuilder out = new StringBuilder();
     String head = "class             calls  in time    late     cut  not set up  service%n";
     out.append(String.format(Locale.ROOT, head));
-    for (FleetPlan.Kind kind : plan.kinds()) {
+    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
       List<CallResult> own = of(kind);
       long stood =
           own.stream().filter(f -> f.establishedAfterMillis() >= 0 && !f.disconnected()).count();
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimWorld.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
@@ -19,21 +19,21 @@
  * A simulated network in virtual time: delays, loss, repeats, overtaking, connections that break,
  * nodes that freeze. Everything random comes from the seed, so a run replays to the same byte.
  */
-public final class SimWorld implements World {
+public final class SimulatedNetwork implements Network {
   private static final int PORT = 5060;
 
   private final VirtualTime time = new VirtualTime();
   private final SplittableRandom random;
-  private final Tap tap = new Tap();
+  private final MessageRecorder tap = new MessageRecorder();
   private final Map<String, Node> byName = new HashMap<>();
   private final Map<String, Node> byHost = new HashMap<>();
-  private Conditions conditions = Conditions.SOUND;
-  private Consumer<String> boundaries = node -> {};
+  private Conditions conditions = Conditions.NORMAL;
+  private Consumer<String> onBoundary = node -> {};
   private Consumer<String> crashed = node -> {};
   private int ports = 20_000;
 
   /** Makes an empty network. */
-  public SimWorld(long seed) {
+  public SimulatedNetwork(long seed) {
     random = new SplittableRandom(seed);
   }
 
@@ -89,8 +89,8 @@
 
     @Override
     public void send(Hop to, byte[] message) {
-      boundaries.accept(name);
-      tap.sent(time.now(), name, to, message);
+      onBoundary.accept(name);
+      tap.recordSent(time.now(), name, to, message);
       if (!reachable) {
         return;
       }
@@ -103,15 +103,15 @@
 
     void read(Hop from, byte[] message, double arrived) {
       if (reachable) {
-        tap.read(time.now(), name, from, arrived, message);
+        tap.recordRead(time.now(), name, from, arrived, message);
         inner.receive(from, message, arrived);
-        boundaries.accept(name);
+        onBoundary.accept(name);
       }
     }
 
     void failed(Hop hop, Failure failure) {
       if (reachable) {
-        tap.failed(time.now(), name, hop, failure);
+        tap.recordFailure(time.now(), name, hop, failure);
         inner.connectionFailed(hop, failure);
       }
     }
@@ -174,15 +174,15 @@
   // ---- Building -----------------------------------------------------------------------------
 
   @Override
-  public Hop place(String name) {
+  public Hop reserveAddress(String name) {
     Node node = byName.computeIfAbsent(name, n -> new Node(n, "10.0.0." + (byName.size() + 1)));
     byHost.put(node.host, node);
     return node.localHop(Transport.UDP);
   }
 
   @Override
-  public <N extends SipNode> N add(String name, String crew, Function<SipHost, N> maker) {
-    place(name);
+  public <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker) {
+    reserveAddress(name);
     Node node = byName.get(name);
     N made = maker.apply(node);
     node.inner = made;
@@ -194,30 +194,31 @@
    * Names who is told at each message of a node, before it is sent and after it was taken, and may
    * throw a {@link Crash} there; and who is told of a node that crashed so, and was killed.
    */
-  public void boundaries(Consumer<String> at, Consumer<String> whenCrashed) {
-    boundaries = at;
+  public void onBoundary(Consumer<String> at, Consumer<String> whenCrashed) {
+    onBoundary = at;
     crashed = whenCrashed;
   }
 
   /** Kills a node: its timers, connections and memory are gone, and it hears nothing. */
   public void kill(String name) {
-    tap.note(time.now(), name, "killed");
-    reachable(name, false);
+    tap.recordNote(time.now(), name, "killed");
+    setReachable(name, false);
     byName.get(name).life++;
   }
 
   /** Starts a node that was killed, with nothing but what its maker knows. */
-  public <N extends SipNode> N revive(String name, Function<SipHost, N> maker) {
-    tap.note(time.now(), name, "started");
+  public <N extends SipNode> N restartNode(String name, Function<SipHost, N> maker) {
+    tap.recordNote(time.now(), name, "started");
     Node node = byName.get(name);
     node.reachable = true;
-    return add(name, "", maker);
+    return addNode(name, "", maker);
   }
 
   // ---- The wire -----------------------------------------------------------------------------
 
   private double way() {
-    return conditions.least() + (conditions.most() - conditions.least()) * random.nextDouble();
+    return conditions.minDelayMillis()
+        + (conditions.maxDelayMillis() - conditions.minDelayMillis()) * random.nextDouble();
   }
 
   private void datagram(Node from, Hop to, byte[] message) {
@@ -225,8 +226,8 @@
     if (target == null || to.port() != PORT) {
       return;
     }
-    int copies = random.nextDouble() < conditions.lost() ? 0 : 1;
-    copies += random.nextDouble() < conditions.repeated() ? 1 : 0;
+    int copies = random.nextDouble() < conditions.lossRate() ? 0 : 1;
+    copies += random.nextDouble() < conditions.duplicationRate() ? 1 : 0;
     Hop source = from.localHop(Transport.UDP);
     for (int i = 0; i < copies; i++) {
       double arrives = time.now() + way();
@@ -286,18 +287,18 @@
   // ---- Faults -------------------------------------------------------------------------------
 
   @Override
-  public void at(double when, String name, Runnable action) {
+  public void schedule(double when, String name, Runnable action) {
     time.at(when, action);
   }
 
   @Override
   public void freeze(String name, double lasts) {
-    tap.note(time.now(), name, "frozen for " + lasts);
+    tap.recordNote(time.now(), name, "frozen for " + lasts);
     byName.get(name).frozenUntil = time.now() + lasts;
   }
 
   @Override
-  public void reachable(String name, boolean on) {
+  public void setReachable(String name, boolean on) {
     Node node = byName.get(name);
     if (!on) {
       resetConnections(name);
@@ -312,14 +313,14 @@
   }
 
   @Override
-  public void conditions(Conditions news) {
+  public void setConditions(Conditions news) {
     conditions = news;
   }
 
   // ---- Time ---------------------------------------------------------------------------------
 
   @Override
-  public void run(double until, BooleanSupplier done) {
+  public void runUntil(double until, BooleanSupplier done) {
     while (!done.getAsBoolean() && step(until)) {
       continue;
     }
@@ -341,7 +342,7 @@
   }
 
   @Override
-  public Tap tap() {
+  public MessageRecorder recorder() {
     return tap;
   }
 
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketWorld.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -20,21 +20,21 @@
 import java.util.random.RandomGenerator;
 
 /** The network of one machine: every node on loopback sockets, in real time. */
-public final class SocketWorld implements World {
+public final class SocketNetwork implements Network {
   private static final String HOST = "127.0.0.1";
   private static final int QUEUE = 200_000;
 
   private final long origin = System.nanoTime();
   private final long seed;
   private final Sockets sockets;
-  private final Tap tap = new Tap();
+  private final MessageRecorder tap = new MessageRecorder();
   private final Map<String, EventLoop> loops = new LinkedHashMap<>();
   private final Map<String, Node> nodes = new HashMap<>();
-  private volatile Conditions conditions = Conditions.SOUND;
+  private volatile Conditions conditions = Conditions.NORMAL;
   private boolean running;
 
   /** Makes an empty network; the seed is of what nodes draw and of what befalls datagrams. */
-  public SocketWorld(long seed) throws IOException {
+  public SocketNetwork(long seed) throws IOException {
     this.seed = seed;
     this.sockets = new Sockets(2);
   }
@@ -77,16 +77,18 @@
 
     @Override
     public void send(Hop to, byte[] message) {
-      tap.sent(now(), name, to, message);
+      tap.recordSent(now(), name, to, message);
       Conditions now = conditions;
-      if (to.transport() == Transport.TCP || now == Conditions.SOUND) {
+      if (to.transport() == Transport.TCP || now == Conditions.NORMAL) {
         socket.send(to, message);
         return;
       }
-      int copies = fate.nextDouble() < now.lost() ? 0 : 1;
-      copies += fate.nextDouble() < now.repeated() ? 1 : 0;
+      int copies = fate.nextDouble() < now.lossRate() ? 0 : 1;
+      copies += fate.nextDouble() < now.duplicationRate() ? 1 : 0;
       for (int i = 0; i < copies; i++) {
-        double way = now.least() + (now.most() - now.least()) * fate.nextDouble();
+        double way =
+            now.minDelayMillis()
+                + (now.maxDelayMillis() - now.minDelayMillis()) * fate.nextDouble();
         loop.after(way, () -> socket.send(to, message));
       }
     }
@@ -98,13 +100,13 @@
 
     @Override
     public void receive(Hop from, byte[] message, double arrived) {
-      tap.read(now(), name, from, arrived, message);
+      tap.recordRead(now(), name, from, arrived, message);
       inner.receive(from, message, arrived);
     }
 
     @Override
     public void connectionFailed(Hop hop, Failure failure) {
-      tap.failed(now(), name, hop, failure);
+      tap.recordFailure(now(), name, hop, failure);
       inner.connectionFailed(hop, failure);
     }
   }
@@ -112,7 +114,7 @@
   // ---- Building -----------------------------------------------------------------------------
 
   @Override
-  public Hop place(String name) {
+  public Hop reserveAddress(String name) {
     return node(name, null).localHop(Transport.UDP);
   }
 
@@ -133,7 +135,7 @@
   }
 
   @Override
-  public <N extends SipNode> N add(String name, String crew, Function<SipHost, N> maker) {
+  public <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker) {
     Node node = node(name, crew);
     N made = maker.apply(node);
     node.inner = made;
@@ -144,19 +146,19 @@
   // ---- Faults -------------------------------------------------------------------------------
 
   @Override
-  public void at(double time, String name, Runnable action) {
+  public void schedule(double time, String name, Runnable action) {
     EventLoop loop = nodes.get(name).loop;
     loop.offer(() -> loop.after(time - loop.now(), action));
   }
 
   @Override
   public void freeze(String name, double lasts) {
-    tap.note(now(), name, "frozen for " + lasts);
+    tap.recordNote(now(), name, "frozen for " + lasts);
     nodes.get(name).loop.pause(lasts);
   }
 
   @Override
-  public void reachable(String name, boolean on) {
+  public void setReachable(String name, boolean on) {
     Node node = nodes.get(name);
     node.loop.offer(
         () -> {
@@ -175,14 +177,14 @@
   }
 
   @Override
-  public void conditions(Conditions news) {
+  public void setConditions(Conditions news) {
     conditions = news;
   }
 
   // ---- Time ---------------------------------------------------------------------------------
 
   @Override
-  public void run(double until, BooleanSupplier done) {
+  public void runUntil(double until, BooleanSupplier done) {
     if (!running) {
       running = true;
       loops.values().forEach(EventLoop::start);
@@ -202,12 +204,12 @@
   }
 
   @Override
-  public Tap tap() {
+  public MessageRecorder recorder() {
     return tap;
   }
 
   /** Tasks that the loops dropped or that threw; any is a fault of the run. */
-  public long faults() {
+  public long failedTasks() {
     return loops.values().stream()
         .mapToLong(loop -> loop.droppedTasks() + loop.failedTasks())
         .sum();
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
@@ -20,16 +20,16 @@
 final class ControllerBed {
   static final double SYNC = 1;
 
-  final SimWorld world = new SimWorld(5);
-  final RawNode caller = world.add("caller", "x", RawNode::new);
-  final RawNode ownSwitch = world.add("switch", "x", RawNode::new);
-  final RawNode listServer = world.add("list", "x", RawNode::new);
+  final SimulatedNetwork world = new SimulatedNetwork(5);
+  final RawNode caller = world.addNode("caller", "x", RawNode::new);
+  final RawNode ownSwitch = world.addNode("switch", "x", RawNode::new);
+  final RawNode listServer = world.addNode("list", "x", RawNode::new);
   final Hop place;
   final SimDisk disk = new SimDisk(new SplittableRandom(3), SYNC, SYNC, () -> {});
   SipFront front;
   double clockStep;
   private FrontSettings settings;
-  private final FleetPlan plan = FleetPlan.eight().sized(4, 1);
+  private final FleetConfig plan = FleetConfig.eightExchanges().withSize(4, 1);
   private final boolean keeps;
 
   ControllerBed(Transport toSwitch) {
@@ -39,13 +39,13 @@
   /** Makes a bed whose controller keeps its calls, or does not. */
   ControllerBed(Transport toSwitch, boolean keeps) {
     this.keeps = keeps;
-    place = world.place("controller");
-    world.conditions(new World.Conditions(1, 1, 0, 0));
+    place = world.reserveAddress("controller");
+    world.setConditions(new Network.Conditions(1, 1, 0, 0));
     settings =
         new FrontSettings(
             "x0.example",
-            world.place("switch").withTransport(toSwitch),
-            world.place("list"),
+            world.reserveAddress("switch").withTransport(toSwitch),
+            world.reserveAddress("list"),
             new ClassTable(
                 List.of("a", "b", "c"), List.of("cove.0", "cove.1", "cove.2"), List.of(), 0),
             5_000,
@@ -54,7 +54,7 @@
             1,
             Timing.STANDARD,
             SipStack.Limits.DEFAULT);
-    front = world.add("controller", "x", this::make);
+    front = world.addNode("controller", "x", this::make);
     run(50);
     tellList();
   }
@@ -64,10 +64,10 @@
     return new SipFront(
         host,
         settings,
-        plan.rules(0),
-        Tampering.NONE.guard().get(),
+        plan.policySettings(0),
+        FaultInjection.NONE.guardFactory().get(),
         CallController.Observer.NONE,
-        Tampering.NONE.maker(plan.rules(0), 3),
+        FaultInjection.NONE.policyFactoryFor(plan.policySettings(0), 3),
         keeps
             ? new SipFront.Persistence(disk, new RecoveryRate.Budget(1_000, 100), () -> clock())
             : null);
@@ -82,7 +82,7 @@
     world.kill("controller");
     disk.crash();
     run(downFor);
-    front = world.revive("controller", this::make);
+    front = world.restartNode("controller", this::make);
     run(1);
     tellList();
   }
@@ -102,7 +102,7 @@
   }
 
   void run(double lasts) {
-    world.run(world.now() + lasts, () -> false);
+    world.runUntil(world.now() + lasts, () -> false);
   }
 
   /** Sends the text of an INVITE from the caller by UDP; returns it. */
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -69,7 +69,7 @@
     tcp.run(900);
     assertEquals(2, tcp.attempts().size());
     double gap = tcp.attempts().get(1).at() - reset;
-    assertTrue(gap >= FleetPlan.GUARD, "sent again after " + gap);
+    assertTrue(gap >= FleetConfig.GUARD_TIME_MILLIS, "sent again after " + gap);
   }
 
   @Test
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -6,7 +6,7 @@
 import coveladder.CallPolicy;
 import coveladder.NestedThresholdPolicy;
 import coveladder.core.AttemptGuard;
-import coveladder.rehearsal.Verdict.Rule;
+import coveladder.rehearsal.RuleReport.Rule;
 import coveladder.sip.Hop;
 import coveladder.sip.SipHost;
 import coveladder.sip.Transport;
@@ -24,12 +24,12 @@
 
   @Test
   void theSameDayUnbrokenIsGreen() {
-    assertEquals(0, play(Tampering.NONE).breaches());
+    assertEquals(0, play(FaultInjection.NONE).breachCount());
   }
 
   @Test
   void aSecondAttemptIsSeen() {
-    Verdict verdict =
+    RuleReport verdict =
         play(
             onSend(
                 (text, resend) -> {
@@ -37,12 +37,12 @@
                     resend.accept(text.replaceFirst("Call-ID: ", "Call-ID: second-"));
                   }
                 }));
-    assertTrue(verdict.breaches(Rule.ONE_ATTEMPT) > 0);
+    assertTrue(verdict.breachCount(Rule.ONE_ATTEMPT) > 0);
   }
 
   @Test
   void aSecondAnswerIsSeen() {
-    Verdict verdict =
+    RuleReport verdict =
         play(
             onSend(
                 (text, resend) -> {
@@ -50,7 +50,7 @@
                     resend.accept(text.replaceFirst("503 Service Unavailable", "480 Gone"));
                   }
                 }));
-    assertTrue(verdict.breaches(Rule.ONE_OUTCOME) > 0);
+    assertTrue(verdict.breachCount(Rule.ONE_OUTCOME) > 0);
   }
 
   @Test
@@ -66,27 +66,27 @@
                 }
               }
             };
-    Verdict verdict = play(tampered(deaf));
-    assertTrue(verdict.breaches(Rule.ONE_OUTCOME) > 0);
+    RuleReport verdict = play(tampered(deaf));
+    assertTrue(verdict.breachCount(Rule.ONE_OUTCOME) > 0);
   }
 
   @Test
   void anEarlyResendIsSeen() {
-    Tampering tampering =
-        new Tampering(UnaryOperator.identity(), Hasty::new, () -> new AttemptGuard(0, 250));
-    assertTrue(play(tampering).breaches(Rule.RELEASE_AWAITED) > 0);
+    FaultInjection tampering =
+        new FaultInjection(UnaryOperator.identity(), Hasty::new, () -> new AttemptGuard(0, 250));
+    assertTrue(play(tampering).breachCount(Rule.RELEASE_AWAITED) > 0);
   }
 
   @Test
   void aSendToADrainedExchangeIsSeen() {
-    Tampering tampering =
-        new Tampering(UnaryOperator.identity(), Blind::new, () -> new AttemptGuard(300, 1e9));
-    assertTrue(play(tampering).breaches(Rule.DRAINS_KEPT) > 0);
+    FaultInjection tampering =
+        new FaultInjection(UnaryOperator.identity(), Blind::new, () -> new AttemptGuard(300, 1e9));
+    assertTrue(play(tampering).breachCount(Rule.DRAINS_KEPT) > 0);
   }
 
   @Test
   void aColdProcessorPushedOverIsSeen() {
-    Verdict verdict =
+    RuleReport verdict =
         play(
             onSend(
                 (text, resend) -> {
@@ -94,31 +94,33 @@
                     resend.accept(text);
                   }
                 }));
-    assertTrue(verdict.breaches(Rule.COLD_SPARED) > 0);
+    assertTrue(verdict.breachCount(Rule.COLD_SPARED) > 0);
   }
 
-  private static Verdict play(Tampering tampering) {
-    try (World world = new SimWorld(SEED)) {
-      return Rehearsal.play(world, day(), SEED, tampering).verdict();
+  private static RuleReport play(FaultInjection tampering) {
+    try (Network world = new SimulatedNetwork(SEED)) {
+      return Rehearsal.play(world, day(), SEED, tampering).ruleReport();
     }
   }
 
   /** A short day with a drain, a cold start, resets and a surge. */
-  private static Day day() {
-    FleetPlan plan = FleetPlan.eight().sized(4, 6);
-    return new Day(
+  private static Scenario day() {
+    FleetConfig plan = FleetConfig.eightExchanges().withSize(4, 6);
+    return new Scenario(
         "mutations",
         "four exchanges, 9 s",
         plan,
         9_000,
-        seed -> new Load(plan, seed).surge(new Load.Surge(2_000, 8_000, 2.5, -1, null)),
+        seed ->
+            new LoadGenerator(plan, seed)
+                .addSurge(new LoadGenerator.Surge(2_000, 8_000, 2.5, -1, null)),
         (world, fleet) -> {
-          world.at(1_000, "list", () -> fleet.drain(3));
-          world.at(5_500, "list", () -> fleet.stop(3));
-          world.at(5_900, "list", () -> fleet.startCold(3));
-          world.at(3_000, "list", () -> fleet.exchange(0).processor().setSlowdown(4));
+          world.schedule(1_000, "list", () -> fleet.drain(3));
+          world.schedule(5_500, "list", () -> fleet.stop(3));
+          world.schedule(5_900, "list", () -> fleet.startCold(3));
+          world.schedule(3_000, "list", () -> fleet.switchOf(0).processor().setSlowdown(4));
           for (int i = 0; i < 8; i++) {
-            world.at(3_500 + 200 * i, "list", () -> world.resetConnections("controller-0"));
+            world.schedule(3_500 + 200 * i, "list", () -> world.resetConnections("controller-0"));
           }
         });
   }
@@ -131,12 +133,14 @@
     return new String(message, StandardCharsets.ISO_8859_1);
   }
 
-  private static Tampering tampered(UnaryOperator<SipHost> host) {
-    return new Tampering(host, Tampering.NONE.policies(), Tampering.NONE.guard());
+  private static FaultInjection tampered(UnaryOperator<SipHost> host) {
+    return new FaultInjection(
+        host, FaultInjection.NONE.policyFactory(), FaultInjection.NONE.guardFactory());
   }
 
   /** Sees each message and may send more of its own. */
-  private static Tampering onSend(BiConsumer<String, java.util.function.Consumer<String>> more) {
+  private static FaultInjection onSend(
+      BiConsumer<String, java.util.function.Consumer<String>> more) {
     return tampered(
         host ->
             new Wrapped(host) {
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -24,7 +24,7 @@
 
   @Test
   void fiftySeedsWithKillsAndFailingDisksKeepAllRules() throws InterruptedException {
-    assertEquals(List.of(), SeedSweep.ofRestarts().play(1, 50, THREADS));
+    assertEquals(List.of(), SeedSweep.ofRestarts().run(1, 50, THREADS));
   }
 
   /**
@@ -42,38 +42,38 @@
         10, 12, 16, 31, 41, 106, 189, 221, 461, 571, 838, 1568, 2795, 3791, 7009, 7552, 8368
       })
   void seedsThatFailedOnce(long seed) {
-    Rehearsal.Result result = SeedSweep.restarts(Days.restarts(seed), seed, -1);
-    assertTrue(result.clean(), result.verdict() + " circuits held " + result.circuitsHeld());
+    Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.restarts(seed), seed, -1);
+    assertTrue(result.isClean(), result.ruleReport() + " circuits held " + result.busyCircuits());
   }
 
   @Test
   void aKillAtSomeBoundariesKeepsAllRules() throws InterruptedException {
-    SeedSweep sweep = SeedSweep.ofBoundaries(Days.boundaries(), 1);
+    SeedSweep sweep = SeedSweep.ofBoundaries(Scenarios.boundaries(), 1);
     for (long boundary = 5; boundary < 3_900; boundary += 310) {
-      assertEquals(List.of(), sweep.play(boundary, 2, THREADS));
+      assertEquals(List.of(), sweep.run(boundary, 2, THREADS));
     }
   }
 
   @Test
   void everyCallThatStoodAtAKillStandsToItsEnd() {
     for (long boundary = 200; boundary < 3_900; boundary += 1_200) {
-      Rehearsal.Result result = SeedSweep.restarts(Days.boundaries(), 2, boundary);
+      Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.boundaries(), 2, boundary);
       Set<String> cut =
-          result.fates().stream()
+          result.callResults().stream()
               .filter(fate -> fate.disconnected() || fate.endedByRemote())
               .map(fate -> fate.plannedCall().sessionIdPrefix())
               .collect(Collectors.toCollection(TreeSet::new));
-      cut.retainAll(result.lives().stood().keySet());
-      assertEquals(1, result.lives().kills());
+      cut.retainAll(result.restarts().establishedAtKill().keySet());
+      assertEquals(1, result.restarts().killCount());
       assertEquals(Set.of(), cut);
     }
   }
 
   @Test
   void aDayWithoutKillsIsAsWithoutADisk() {
-    Rehearsal.Result result = SeedSweep.restarts(Days.boundaries(), 1, -1);
-    assertTrue(result.clean());
-    assertEquals(0, result.lives().kills());
+    Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.boundaries(), 1, -1);
+    assertTrue(result.isClean());
+    assertEquals(0, result.restarts().killCount());
   }
 
   // ---- Mutations: the checker goes red --------------------------------------------------------
@@ -120,10 +120,11 @@
   private static int failing(UnaryOperator<CallStore> mutant) {
     int failing = 0;
     for (long seed = 10; seed <= 16; seed++) {
-      try (SimWorld world = new SimWorld(seed)) {
-        Lives lives = new Lives(world, BUDGET, seed, mutant);
-        Rehearsal.Result result = Rehearsal.playLives(world, Days.restarts(seed), seed, lives);
-        failing += result.clean() ? 0 : 1;
+      try (SimulatedNetwork world = new SimulatedNetwork(seed)) {
+        ControllerRestarts lives = new ControllerRestarts(world, BUDGET, seed, mutant);
+        Rehearsal.Result result =
+            Rehearsal.playWithRestarts(world, Scenarios.restarts(seed), seed, lives);
+        failing += result.isClean() ? 0 : 1;
       }
     }
     return failing;
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -151,7 +151,7 @@
   @Test
   void endsThatCannotBeReachedAreAskedAgainAndThenReleased() {
     standing();
-    bed.world.reachable("switch", false);
+    bed.world.setReachable("switch", false);
     bed.restart(300);
     bed.run(60_000);
     assertEquals(1, bed.front.controller().callCount());
--- a/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
@@ -13,10 +13,10 @@
 
   @Test
   void threeHundredSeedsKeepAllRules() throws InterruptedException {
-    SeedSweep sweep = SeedSweep.ofDays(Days::small, Tampering.NONE);
+    SeedSweep sweep = SeedSweep.ofScenarios(Scenarios::small, FaultInjection.NONE);
     int threads = Runtime.getRuntime().availableProcessors();
-    assertEquals(List.of(), sweep.play(1, 300, threads));
-    assertEquals(300, sweep.played());
+    assertEquals(List.of(), sweep.run(1, 300, threads));
+    assertEquals(300, sweep.runCount());
   }
 
   /**
@@ -27,9 +27,10 @@
   @ValueSource(
       longs = {1371, 3143, 5193, 5195, 5509, 6127, 6990, 7253, 7425, 7506, 8866, 9316, 9355, 9689})
   void seedsThatFailedOnce(long seed) {
-    try (World world = new SimWorld(seed)) {
-      Rehearsal.Result result = Rehearsal.play(world, Days.small(seed), seed, Tampering.NONE);
-      assertTrue(result.clean(), result.verdict().toString());
+    try (Network world = new SimulatedNetwork(seed)) {
+      Rehearsal.Result result =
+          Rehearsal.play(world, Scenarios.small(seed), seed, FaultInjection.NONE);
+      assertTrue(result.isClean(), result.ruleReport().toString());
     }
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/SimDayTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/SimDayTest.java
@@ -11,16 +11,16 @@
 
   @Test
   void aQuietDayServesNearlyEveryCall() {
-    Rehearsal.Result result = play(Days.quiet(), 1);
-    assertTrue(result.clean(), result.verdict().toString());
-    assertEquals(0, result.circuitsHeld());
+    Rehearsal.Result result = play(Scenarios.quiet(), 1);
+    assertTrue(result.isClean(), result.ruleReport().toString());
+    assertEquals(0, result.busyCircuits());
   }
 
   @Test
   void theBadDayKeepsAllRules() {
-    Rehearsal.Result result = play(Days.badDay(), 1);
-    assertTrue(result.clean(), result.verdict().toString());
-    assertEquals(0, result.circuitsHeld());
+    Rehearsal.Result result = play(Scenarios.badDay(), 1);
+    assertTrue(result.isClean(), result.ruleReport().toString());
+    assertEquals(0, result.busyCircuits());
   }
 
   @Test
@@ -30,19 +30,19 @@
   }
 
   private static int digest(long seed) {
-    try (World world = new SimWorld(seed)) {
-      Rehearsal.play(world, Days.small(seed), seed, Tampering.NONE);
+    try (Network world = new SimulatedNetwork(seed)) {
+      Rehearsal.play(world, Scenarios.small(seed), seed, FaultInjection.NONE);
       int digest = 1;
-      for (Tap.Entry entry : world.tap().entries()) {
+      for (MessageRecorder.Entry entry : world.recorder().entries()) {
         digest = 31 * digest + Double.hashCode(entry.time()) + Arrays.hashCode(entry.message());
       }
       return digest;
     }
   }
 
-  private static Rehearsal.Result play(Day day, long seed) {
-    try (World world = new SimWorld(seed)) {
-      return Rehearsal.play(world, day, seed, Tampering.NONE);
+  private static Rehearsal.Result play(Scenario day, long seed) {
+    try (Network world = new SimulatedNetwork(seed)) {
+      return Rehearsal.play(world, day, seed, FaultInjection.NONE);
     }
   }
 }
