--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -16,31 +16,37 @@
  * controllers.
  */
 public final class Checker {
-  private static final double ROUNDING = 1;
+  private static final double ROUNDING_MILLIS = 1;
 
-  private final Figures figures;
+  private final Limits limits;
   private final Set<String> controllers;
-  private final Map<String, Watched> watched = new HashMap<>();
-  private final Map<String, Cold> cold = new HashMap<>();
+  private final Map<String, ObservedController> observedControllers = new HashMap<>();
+  private final Map<String, ColdProcessor> coldProcessors = new HashMap<>();
   private final Map<String, List<double[]>> freezes = new HashMap<>();
-  private final Map<String, List<double[]>> downs = new HashMap<>();
-  private final Set<String> unkept = new HashSet<>();
-  private final RuleReport verdict = new RuleReport();
+  private final Map<String, List<double[]>> downtimes = new HashMap<>();
+  private final Set<String> unpersisted = new HashSet<>();
+  private final RuleReport report = new RuleReport();
 
   /**
    * The figures of the rules.
    *
-   * @param guard wait before a call is sent again after an unsure end, ms
-   * @param grace time to cease sending after word of a drain, ms
-   * @param slack time after the caller's patience in which a final answer still counts, ms
-   * @param life time after which an attempt without any answer is over (64*T1), ms
-   * @param resumes time after a start in which callers known from before it are answered, ms
+   * @param guardTimeMillis wait before a call is sent again after an unsure end, ms
+   * @param drainGraceMillis time to cease sending after word of a drain, ms
+   * @param answerSlackMillis time after the caller's patience in which a final answer still counts,
+   *     ms
+   * @param attemptTimeoutMillis time after which an attempt without any answer is over (64*T1), ms
+   * @param recoveryMillis time after a start in which callers known from before it are answered, ms
    */
-  public record Figures(double guard, double grace, double slack, double life, double resumes) {}
+  public record Limits(
+      double guardTimeMillis,
+      double drainGraceMillis,
+      double answerSlackMillis,
+      double attemptTimeoutMillis,
+      double recoveryMillis) {}
 
   /** Makes a checker for these controllers. */
-  public Checker(Figures figures, Set<String> controllers) {
-    this.figures = figures;
+  public Checker(Limits figures, Set<String> controllers) {
+    this.limits = figures;
     this.controllers = controllers;
   }
 
@@ -50,17 +56,18 @@
     for (MessageRecorder.Entry entry : entries) {
       end = entry.time();
       if (entry.kind() == MessageRecorder.Kind.NOTE) {
-        note(entry);
+        readNote(entry);
       } else if (controllers.contains(entry.node())) {
-        watched.computeIfAbsent(entry.node(), Watched::new).see(entry);
-      } else if (entry.kind() == MessageRecorder.Kind.READ && cold.containsKey(entry.node())) {
-        cold.get(entry.node()).see(entry);
+        observedControllers.computeIfAbsent(entry.node(), ObservedController::new).observe(entry);
+      } else if (entry.kind() == MessageRecorder.Kind.READ
+          && coldProcessors.containsKey(entry.node())) {
+        coldProcessors.get(entry.node()).observe(entry);
       }
     }
-    for (Watched controller : watched.values()) {
+    for (ObservedController controller : observedControllers.values()) {
       controller.finish(end);
     }
-    return verdict;
+    return report;
   }
 
   /**
@@ -68,23 +75,23 @@
    * and "started" bound the time that a controller was down, "disk fails" says that it went on
    * without keeping its calls.
    */
-  private void note(MessageRecorder.Entry entry) {
+  private void readNote(MessageRecorder.Entry entry) {
     if (entry.note().startsWith("cold ")) {
-      cold.put(entry.node(), new Cold(entry));
-      verdict.countCheck(Rule.COLD_SPARED);
+      coldProcessors.put(entry.node(), new ColdProcessor(entry));
+      report.countCheck(Rule.COLD_SPARED);
     } else if (entry.note().startsWith("frozen for ")) {
       double end = entry.time() + Double.parseDouble(entry.note().substring(11));
       freezes
           .computeIfAbsent(entry.node(), n -> new ArrayList<>())
           .add(new double[] {entry.time(), end});
     } else if (entry.note().equals("killed")) {
-      double[] down = {entry.time(), Double.POSITIVE_INFINITY};
-      downs.computeIfAbsent(entry.node(), n -> new ArrayList<>()).add(down);
+      double[] downtime = {entry.time(), Double.POSITIVE_INFINITY};
+      downtimes.computeIfAbsent(entry.node(), n -> new ArrayList<>()).add(downtime);
     } else if (entry.note().equals("started")) {
-      List<double[]> all = downs.get(entry.node());
-      all.get(all.size() - 1)[1] = entry.time();
+      List<double[]> intervals = downtimes.get(entry.node());
+      intervals.get(intervals.size() - 1)[1] = entry.time();
     } else if (entry.note().equals("disk fails")) {
-      unkept.add(entry.node());
+      unpersisted.add(entry.node());
     }
   }
 
@@ -92,17 +99,17 @@
    * When a controller could answer that had to by a time: the rule binds running controllers, and
    * one that was made to stand still runs again only at the end of that.
    */
-  private double couldBy(String controller, double due) {
-    double by = due;
+  private double latestAnswerTime(String controller, double dueAt) {
+    double latest = dueAt;
     for (double[] freeze : freezes.getOrDefault(controller, List.of())) {
-      by = by >= freeze[0] && by < freeze[1] ? freeze[1] : by;
+      latest = latest >= freeze[0] && latest < freeze[1] ? freeze[1] : latest;
     }
-    return by;
+    return latest;
   }
 
-  private boolean startedSince(String controller, double from, double to) {
-    return downs.getOrDefault(controller, List.of()).stream()
-        .anyMatch(down -> down[1] >= from && down[1] <= to);
+  private boolean restartedBetween(String controller, double from, double to) {
+    return downtimes.getOrDefault(controller, List.of()).stream()
+        .anyMatch(downtime -> downtime[1] >= from && downtime[1] <= to);
   }
 
   /**
@@ -110,288 +117,305 @@
    * is asked of the next life: a caller whose INVITE came again is answered, and so is one whose
    * attempt had left, if it can still be reached and has time to hear it.
    */
-  private boolean excused(String controller, Taken call) {
-    double[] last = null;
-    for (double[] down : downs.getOrDefault(controller, List.of())) {
-      last = down[1] >= call.read && down[0] <= call.until ? down : last;
+  private boolean isExcused(String controller, ReceivedCall call) {
+    double[] lastDowntime = null;
+    for (double[] downtime : downtimes.getOrDefault(controller, List.of())) {
+      lastDowntime =
+          downtime[1] >= call.receivedAt && downtime[0] <= call.patienceEnd
+              ? downtime
+              : lastDowntime;
     }
-    if (last == null) {
+    if (lastDowntime == null) {
       return false;
     }
-    double ready = last[1];
-    boolean cameAgain = call.lastRead > ready;
-    boolean known = !call.tries.isEmpty() && call.datagram;
-    boolean due = (cameAgain || known) && ready + figures.resumes() < call.until;
-    return !due || unkept.contains(controller);
+    double restartedAt = lastDowntime[1];
+    boolean inviteRepeated = call.lastReceivedAt > restartedAt;
+    boolean attemptKnown = !call.attempts.isEmpty() && call.overUdp;
+    boolean answerDue =
+        (inviteRepeated || attemptKnown)
+            && restartedAt + limits.recoveryMillis() < call.patienceEnd;
+    return !answerDue || unpersisted.contains(controller);
   }
 
   /** A processor that started cold, and the set-ups that came to it. */
-  private final class Cold {
+  private final class ColdProcessor {
     private final String name;
-    private final double started;
-    private final double[] figure = new double[5];
-    private final ArrayDeque<Double> setups = new ArrayDeque<>();
-    private boolean pushed;
+    private final double startedAt;
+    private final double[] parameters = new double[5];
+    private final ArrayDeque<Double> setupTimes = new ArrayDeque<>();
+    private boolean overloaded;
 
-    Cold(MessageRecorder.Entry entry) {
+    ColdProcessor(MessageRecorder.Entry entry) {
       name = entry.node();
-      started = entry.time();
+      startedAt = entry.time();
       String[] parts = entry.note().split(" ");
-      for (int i = 0; i < figure.length; i++) {
-        figure[i] = Double.parseDouble(parts[i + 1]);
+      for (int i = 0; i < parameters.length; i++) {
+        parameters[i] = Double.parseDouble(parts[i + 1]);
       }
     }
 
-    void see(MessageRecorder.Entry entry) {
-      WireMessage message = WireMessage.read(entry.message());
-      double age = entry.time() - started;
-      if (message == null || !message.request("INVITE") || age >= figure[2]) {
+    void observe(MessageRecorder.Entry entry) {
+      WireMessage message = WireMessage.parse(entry.message());
+      double age = entry.time() - startedAt;
+      if (message == null || !message.isRequest("INVITE") || age >= parameters[2]) {
         return;
       }
-      setups.add(entry.time());
-      while (setups.peek() < entry.time() - figure[4]) {
-        setups.poll();
+      setupTimes.add(entry.time());
+      while (setupTimes.peek() < entry.time() - parameters[4]) {
+        setupTimes.poll();
       }
-      double share = figure[1] + (1 - figure[1]) * age / figure[2];
-      double bears = figure[3] * share * figure[4] / figure[0];
-      if (setups.size() > bears && !pushed) {
-        pushed = true;
-        verdict.addBreach(
+      double capacityShare = parameters[1] + (1 - parameters[1]) * age / parameters[2];
+      double maxSetups = parameters[3] * capacityShare * parameters[4] / parameters[0];
+      if (setupTimes.size() > maxSetups && !overloaded) {
+        overloaded = true;
+        report.addBreach(
             Rule.COLD_SPARED,
-            name + " got " + setups.size() + " set-ups in a window, bears " + (int) bears);
+            name + " got " + setupTimes.size() + " set-ups in a window, bears " + (int) maxSetups);
       }
     }
   }
 
   /** A call as its controller was handed it. */
-  private static final class Taken {
-    private final String session;
-    private double read;
-    private double until;
-    private final boolean datagram;
-    private double lastRead;
-    private boolean calledOff;
-    private String answer = "";
+  private static final class ReceivedCall {
+    private final String sessionId;
+    private double receivedAt;
+    private double patienceEnd;
+    private final boolean overUdp;
+    private double lastReceivedAt;
+    private boolean abandoned;
+    private String finalAnswer = "";
     private double answeredAt = Double.NaN;
-    private final List<Try> tries = new ArrayList<>();
-
-    Taken(String session, double read, double until, boolean datagram) {
-      this.session = session;
-      this.read = read;
-      this.lastRead = read;
-      this.until = until;
-      this.datagram = datagram;
+    private final List<Attempt> attempts = new ArrayList<>();
+
+    ReceivedCall(String sessionId, double receivedAt, double patienceEnd, boolean overUdp) {
+      this.sessionId = sessionId;
+      this.receivedAt = receivedAt;
+      this.lastReceivedAt = receivedAt;
+      this.patienceEnd = patienceEnd;
+      this.overUdp = overUdp;
     }
   }
 
   /** One attempt as it left a controller. */
-  private static final class Try {
-    private final double sent;
+  private static final class Attempt {
+    private final double sentAt;
     private final String peer;
     private boolean cancelSent;
-    private boolean stands;
-    private boolean unsure;
-    private double over = Double.NaN;
+    private boolean established;
+    private boolean uncertain;
+    private double endedAt = Double.NaN;
 
-    Try(double sent, String peer) {
-      this.sent = sent;
+    Attempt(double sentAt, String peer) {
+      this.sentAt = sentAt;
       this.peer = peer;
     }
 
-    boolean isOver() {
-      return !Double.isNaN(over);
+    boolean hasEnded() {
+      return !Double.isNaN(endedAt);
     }
 
-    void over(double time, boolean isUnsure) {
-      if (!isOver()) {
-        over = time;
-        unsure = isUnsure || cancelSent;
+    void markEnded(double time, boolean isUncertain) {
+      if (!hasEnded()) {
+        endedAt = time;
+        uncertain = isUncertain || cancelSent;
       }
     }
   }
 
   /** One controller, seen from its wire. */
-  private final class Watched {
+  private final class ObservedController {
     private final String name;
-    private final Map<String, Taken> byCallId = new LinkedHashMap<>();
-    private final Map<String, Taken> bySession = new HashMap<>();
-    private final Map<String, Try> tries = new HashMap<>();
-    private final KnownList list = new KnownList();
+    private final Map<String, ReceivedCall> callsByCallId = new LinkedHashMap<>();
+    private final Map<String, ReceivedCall> callsBySessionId = new HashMap<>();
+    private final Map<String, Attempt> attemptsByCallId = new HashMap<>();
+    private final KnownList directory = new KnownList();
 
-    Watched(String name) {
+    ObservedController(String name) {
       this.name = name;
     }
 
-    void see(MessageRecorder.Entry entry) {
+    void observe(MessageRecorder.Entry entry) {
       if (entry.kind() == MessageRecorder.Kind.FAILED) {
-        lost(entry);
+        onConnectionFailed(entry);
         return;
       }
-      WireMessage message = WireMessage.read(entry.message());
+      WireMessage message = WireMessage.parse(entry.message());
       if (message == null) {
         return;
       }
       if (entry.kind() == MessageRecorder.Kind.READ) {
-        read(entry, message);
+        onReceived(entry, message);
       } else {
-        sent(entry, message);
+        onSent(entry, message);
       }
     }
 
     // ---- What it read -----------------------------------------------------------------------
 
-    private void read(MessageRecorder.Entry entry, WireMessage message) {
-      if (message.request("INVITE") && message.toTag().isEmpty()) {
-        taken(entry, message);
-      } else if (message.request("CANCEL") || message.request("BYE")) {
-        left(entry, message);
-      } else if (message.request("NOTIFY")) {
-        list.read(message.body(), entry.time());
-      } else if (message.status() >= 200 && message.answers().equals("INVITE")) {
-        answered(entry, message);
+    private void onReceived(MessageRecorder.Entry entry, WireMessage message) {
+      if (message.isRequest("INVITE") && message.toTag().isEmpty()) {
+        onInitialInvite(entry, message);
+      } else if (message.isRequest("CANCEL") || message.isRequest("BYE")) {
+        onCancelOrBye(entry, message);
+      } else if (message.isRequest("NOTIFY")) {
+        directory.update(message.body(), entry.time());
+      } else if (message.status() >= 200 && message.cseqMethod().equals("INVITE")) {
+        onFinalResponse(entry, message);
       }
     }
 
-    private void taken(MessageRecorder.Entry entry, WireMessage message) {
-      Taken known = byCallId.get(message.callId());
+    private void onInitialInvite(MessageRecorder.Entry entry, WireMessage message) {
+      ReceivedCall known = callsByCallId.get(message.callId());
       if (known != null) {
-        again(known, entry, message);
+        onRepeatedInvite(known, entry, message);
         return;
       }
-      Taken call =
-          new Taken(message.session(), entry.time(), until(entry, message), message.datagram());
-      byCallId.put(message.callId(), call);
-      bySession.put(message.session(), call);
+      ReceivedCall call =
+          new ReceivedCall(
+              message.sessionId(), entry.time(), patienceEnd(entry, message), message.isUdp());
+      callsByCallId.put(message.callId(), call);
+      callsBySessionId.put(message.sessionId(), call);
     }
 
     /**
      * An INVITE that comes again to a life of its controller that knows nothing of it is taken
      * then, and with the patience that it bears.
      */
-    private void again(Taken known, MessageRecorder.Entry entry, WireMessage message) {
-      boolean nothing = known.tries.isEmpty() || unkept.contains(name);
-      boolean forgotten = nothing && known.answer.isEmpty();
-      if (forgotten && startedSince(name, known.lastRead, entry.time())) {
-        known.read = entry.time();
-        known.until = until(entry, message);
+    private void onRepeatedInvite(
+        ReceivedCall call, MessageRecorder.Entry entry, WireMessage message) {
+      boolean nothingStored = call.attempts.isEmpty() || unpersisted.contains(name);
+      boolean forgotten = nothingStored && call.finalAnswer.isEmpty();
+      if (forgotten && restartedBetween(name, call.lastReceivedAt, entry.time())) {
+        call.receivedAt = entry.time();
+        call.patienceEnd = patienceEnd(entry, message);
       }
-      known.lastRead = entry.time();
+      call.lastReceivedAt = entry.time();
     }
 
-    private double until(MessageRecorder.Entry entry, WireMessage message) {
+    private double patienceEnd(MessageRecorder.Entry entry, WireMessage message) {
       double patience = 1000 * Double.parseDouble("0" + message.header("expires"));
       return patience == 0 ? Double.MAX_VALUE : entry.arrivedAt() + patience;
     }
 
-    private void left(MessageRecorder.Entry entry, WireMessage message) {
-      Taken call = byCallId.get(message.callId());
+    private void onCancelOrBye(MessageRecorder.Entry entry, WireMessage message) {
+      ReceivedCall call = callsByCallId.get(message.callId());
       if (call != null) {
-        call.calledOff = true;
+        call.abandoned = true;
       }
-      Try attempt = tries.get(message.callId());
+      Attempt attempt = attemptsByCallId.get(message.callId());
       if (attempt != null) {
-        attempt.over(entry.time(), false);
+        attempt.markEnded(entry.time(), false);
       }
     }
 
-    private void answered(MessageRecorder.Entry entry, WireMessage message) {
-      Try attempt = tries.get(message.callId());
+    private void onFinalResponse(MessageRecorder.Entry entry, WireMessage message) {
+      Attempt attempt = attemptsByCallId.get(message.callId());
       if (attempt != null && message.status() < 300) {
-        attempt.stands = true;
+        attempt.established = true;
       } else if (attempt != null) {
-        boolean unsure = message.status() == 408 || message.status() == 487;
-        attempt.over(entry.time(), unsure);
+        boolean uncertain = message.status() == 408 || message.status() == 487;
+        attempt.markEnded(entry.time(), uncertain);
       }
     }
 
-    private void lost(MessageRecorder.Entry entry) {
-      for (Try attempt : tries.values()) {
-        boolean waits = !attempt.isOver() && !attempt.stands;
-        if (waits && attempt.peer.equals(entry.peer().toString())) {
-          attempt.over(entry.time(), entry.failure() != coveladder.sip.Failure.REFUSED);
+    private void onConnectionFailed(MessageRecorder.Entry entry) {
+      for (Attempt attempt : attemptsByCallId.values()) {
+        boolean pending = !attempt.hasEnded() && !attempt.established;
+        if (pending && attempt.peer.equals(entry.peer().toString())) {
+          attempt.markEnded(entry.time(), entry.failure() != coveladder.sip.Failure.REFUSED);
         }
       }
     }
 
     // ---- What it sent -----------------------------------------------------------------------
 
-    private void sent(MessageRecorder.Entry entry, WireMessage message) {
-      Try known = tries.get(message.callId());
-      if (message.request("INVITE") && message.toTag().isEmpty()) {
+    private void onSent(MessageRecorder.Entry entry, WireMessage message) {
+      Attempt known = attemptsByCallId.get(message.callId());
+      if (message.isRequest("INVITE") && message.toTag().isEmpty()) {
         if (known == null) {
-          attempt(entry, message);
+          onAttemptSent(entry, message);
         }
-      } else if (message.request("CANCEL") && known != null) {
+      } else if (message.isRequest("CANCEL") && known != null) {
         known.cancelSent = true;
-      } else if (message.request("BYE") && known != null) {
-        known.over(entry.time(), true);
-      } else if (message.status() >= 200 && message.answers().equals("INVITE")) {
-        answer(entry, message);
+      } else if (message.isRequest("BYE") && known != null) {
+        known.markEnded(entry.time(), true);
+      } else if (message.status() >= 200 && message.cseqMethod().equals("INVITE")) {
+        onFinalAnswerSent(entry, message);
       }
     }
 
-    private void attempt(MessageRecorder.Entry entry, WireMessage message) {
-      Taken call = bySession.get(message.session());
-      String what = name + " call " + message.session() + " at " + (long) entry.time();
+    private void onAttemptSent(MessageRecorder.Entry entry, WireMessage message) {
+      ReceivedCall call = callsBySessionId.get(message.sessionId());
+      String context = name + " call " + message.sessionId() + " at " + (long) entry.time();
       if (call == null) {
-        verdict.addBreach(Rule.ONE_OUTCOME, what + ": attempt for a call never taken");
+        report.addBreach(Rule.ONE_OUTCOME, context + ": attempt for a call never taken");
         return;
       }
-      if (!call.answer.isEmpty()) {
-        verdict.addBreach(Rule.ONE_OUTCOME, what + ": attempt after the final answer");
+      if (!call.finalAnswer.isEmpty()) {
+        report.addBreach(Rule.ONE_OUTCOME, context + ": attempt after the final answer");
       }
-      drains(entry, message, what);
-      for (Try earlier : call.tries) {
-        earlierTry(entry.time(), earlier, what);
+      checkDrain(entry, message, context);
+      for (Attempt earlier : call.attempts) {
+        checkEarlierAttempt(entry.time(), earlier, context);
       }
-      Try made = new Try(entry.time(), entry.peer().toString());
-      call.tries.add(made);
-      tries.put(message.callId(), made);
+      Attempt attempt = new Attempt(entry.time(), entry.peer().toString());
+      call.attempts.add(attempt);
+      attemptsByCallId.put(message.callId(), attempt);
     }
 
-    private void earlierTry(double now, Try earlier, String what) {
-      verdict.countCheck(Rule.ONE_ATTEMPT);
-      boolean silentForLong = !earlier.stands && now - earlier.sent > figures.life();
-      if (!earlier.isOver() && !silentForLong) {
-        verdict.addBreach(Rule.ONE_ATTEMPT, what + ": the last one is still out");
+    private void checkEarlierAttempt(double now, Attempt earlier, String context) {
+      report.countCheck(Rule.ONE_ATTEMPT);
+      boolean timedOut =
+          !earlier.established && now - earlier.sentAt > limits.attemptTimeoutMillis();
+      if (!earlier.hasEnded() && !timedOut) {
+        report.addBreach(Rule.ONE_ATTEMPT, context + ": the last one is still out");
       }
-      if (earlier.isOver() && earlier.unsure) {
-        verdict.countCheck(Rule.RELEASE_AWAITED);
-        if (now - earlier.over < figures.guard() - ROUNDING) {
-          long after = Math.round(now - earlier.over);
-          verdict.addBreach(Rule.RELEASE_AWAITED, what + ": sent " + after + " ms after the last");
+      if (earlier.hasEnded() && earlier.uncertain) {
+        report.countCheck(Rule.RELEASE_AWAITED);
+        if (now - earlier.endedAt < limits.guardTimeMillis() - ROUNDING_MILLIS) {
+          long after = Math.round(now - earlier.endedAt);
+          report.addBreach(
+              Rule.RELEASE_AWAITED, context + ": sent " + after + " ms after the last");
         }
       }
     }
 
-    private void drains(MessageRecorder.Entry entry, WireMessage message, String what) {
-      verdict.countCheck(Rule.DRAINS_KEPT);
+    private void checkDrain(MessageRecorder.Entry entry, WireMessage message, String context) {
+      report.countCheck(Rule.DRAINS_KEPT);
       String[] routes = message.header("route").split(",");
-      double since =
+      double closedSince =
           routes.length > 1
-              ? list.addressClosed(routes[1].replaceAll(".*<(sip:[^;>]*).*", "$1"))
-              : list.domainClosed(message.uri().replaceAll(".*@", ""));
-      if (entry.time() - since > figures.grace() + ROUNDING) {
-        verdict.addBreach(
+              ? directory.addressClosedSince(routes[1].replaceAll(".*<(sip:[^;>]*).*", "$1"))
+              : directory.domainClosedSince(message.requestUri().replaceAll(".*@", ""));
+      if (entry.time() - closedSince > limits.drainGraceMillis() + ROUNDING_MILLIS) {
+        report.addBreach(
             Rule.DRAINS_KEPT,
-            what + ": to an exchange that drains since " + Math.round(entry.time() - since));
+            context
+                + ": to an exchange that drains since "
+                + Math.round(entry.time() - closedSince));
       }
     }
 
-    private void answer(MessageRecorder.Entry entry, WireMessage message) {
-      Taken call = byCallId.get(message.callId());
-      boolean initial = call != null && message.sequence().equals("1");
+    private void onFinalAnswerSent(MessageRecorder.Entry entry, WireMessage message) {
+      ReceivedCall call = callsByCallId.get(message.callId());
+      boolean initial = call != null && message.cseqNumber().equals("1");
       if (!initial) {
         return;
       }
       String given = message.status() + " " + message.toTag();
-      if (!call.answer.isEmpty() && !call.answer.equals(given)) {
-        verdict.addBreach(
+      if (!call.finalAnswer.isEmpty() && !call.finalAnswer.equals(given)) {
+        report.addBreach(
             Rule.ONE_OUTCOME,
-            name + " call " + call.session + ": answered " + given + " after " + call.answer);
+            name
+                + " call "
+                + call.sessionId
+                + ": answered "
+                + given
+                + " after "
+                + call.finalAnswer);
       }
-      if (call.answer.isEmpty()) {
-        call.answer = given;
+      if (call.finalAnswer.isEmpty()) {
+        call.finalAnswer = given;
         call.answeredAt = entry.time();
       }
     }
@@ -399,26 +423,27 @@
     // ---- The end ----------------------------------------------------------------------------
 
     void finish(double end) {
-      for (Taken call : byCallId.values()) {
-        if (call.until + figures.slack() < end || !call.answer.isEmpty()) {
-          verdict.countCheck(Rule.ONE_OUTCOME);
-          judge(call);
+      for (ReceivedCall call : callsByCallId.values()) {
+        if (call.patienceEnd + limits.answerSlackMillis() < end || !call.finalAnswer.isEmpty()) {
+          report.countCheck(Rule.ONE_OUTCOME);
+          checkOutcome(call);
         }
       }
     }
 
-    private void judge(Taken call) {
-      boolean readInTime = call.read <= call.until;
-      double by = couldBy(name, call.until) + figures.slack();
-      if (call.answer.isEmpty() && excused(name, call)) {
+    private void checkOutcome(ReceivedCall call) {
+      boolean readInTime = call.receivedAt <= call.patienceEnd;
+      double latest = latestAnswerTime(name, call.patienceEnd) + limits.answerSlackMillis();
+      if (call.finalAnswer.isEmpty() && isExcused(name, call)) {
         return;
       }
-      if (call.answer.isEmpty()) {
-        verdict.addBreach(Rule.ONE_OUTCOME, name + " call " + call.session + ": never answered");
-      } else if (readInTime && !call.calledOff && call.answeredAt > by) {
-        long late = Math.round(call.answeredAt - call.until);
-        verdict.addBreach(
-            Rule.ONE_OUTCOME, name + " call " + call.session + ": answered " + late + " ms late");
+      if (call.finalAnswer.isEmpty()) {
+        report.addBreach(Rule.ONE_OUTCOME, name + " call " + call.sessionId + ": never answered");
+      } else if (readInTime && !call.abandoned && call.answeredAt > latest) {
+        long lateMillis = Math.round(call.answeredAt - call.patienceEnd);
+        report.addBreach(
+            Rule.ONE_OUTCOME,
+            name + " call " + call.sessionId + ": answered " + lateMillis + " ms late");
       }
     }
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
@@ -17,15 +17,15 @@
  * after a sync takes effect.
  */
 public final class ControllerRestarts {
-  private static final double LEAST_SYNC = 0.2;
-  private static final double MOST_SYNC = 4;
+  private static final double MIN_SYNC_MILLIS = 0.2;
+  private static final double MAX_SYNC_MILLIS = 4;
 
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final RecoveryRate.Budget budget;
   private final SplittableRandom random;
-  private final UnaryOperator<CallStore> between;
-  private final Map<String, SimDisk> disks = new HashMap<>();
-  private final Map<String, Integer> armed = new HashMap<>();
+  private final UnaryOperator<CallStore> storeWrapper;
+  private final Map<String, SimulatedDisk> disks = new HashMap<>();
+  private final Map<String, Integer> boundariesUntilKill = new HashMap<>();
   private final Map<String, Boolean> down = new HashMap<>();
   private final Map<String, PlannedCall> establishedAtKill = new TreeMap<>();
   private long boundaryCount;
@@ -36,49 +36,52 @@
   private Fleet fleet;
 
   /** Makes the lives of a fleet that is yet to be built. */
-  public ControllerRestarts(SimulatedNetwork world, RecoveryRate.Budget budget, long seed) {
-    this(world, budget, seed, UnaryOperator.identity());
+  public ControllerRestarts(SimulatedNetwork network, RecoveryRate.Budget budget, long seed) {
+    this(network, budget, seed, UnaryOperator.identity());
   }
 
   /** The same with something between controllers and their disks, such as a mutation. */
   ControllerRestarts(
-      SimulatedNetwork world,
+      SimulatedNetwork network,
       RecoveryRate.Budget budget,
       long seed,
-      UnaryOperator<CallStore> between) {
-    this.between = between;
-    this.world = world;
+      UnaryOperator<CallStore> storeWrapper) {
+    this.storeWrapper = storeWrapper;
+    this.network = network;
     this.budget = budget;
     this.random = new SplittableRandom(seed);
-    world.onBoundary(this::passed, this::crashed);
+    network.onBoundary(this::onBoundary, this::onCrash);
   }
 
   /** Names the fleet whose controllers they are. */
-  void setFleet(Fleet own) {
-    fleet = own;
+  void setFleet(Fleet fleet) {
+    this.fleet = fleet;
   }
 
   /** Where a controller keeps its calls, put into the machine that it is to run on. */
   SipFront.Persistence persistence(String name, SipHost host) {
-    SimDisk disk =
+    SimulatedDisk disk =
         disks.computeIfAbsent(
-            name, n -> new SimDisk(random.split(), LEAST_SYNC, MOST_SYNC, () -> passed(n)));
-    disk.into(host);
-    return new SipFront.Persistence(between.apply(disk), budget, () -> (long) world.now());
+            name,
+            n ->
+                new SimulatedDisk(
+                    random.split(), MIN_SYNC_MILLIS, MAX_SYNC_MILLIS, () -> onBoundary(n)));
+    disk.attachTo(host);
+    return new SipFront.Persistence(storeWrapper.apply(disk), budget, () -> (long) network.now());
   }
 
   // ---- Kills --------------------------------------------------------------------------------
 
-  private void passed(String node) {
+  private void onBoundary(String node) {
     if (!disks.containsKey(node) || down.getOrDefault(node, false)) {
       return;
     }
     boundaryCount++;
-    int left = armed.getOrDefault(node, 0);
-    if (left > 0) {
-      armed.put(node, left - 1);
+    int remaining = boundariesUntilKill.getOrDefault(node, 0);
+    if (remaining > 0) {
+      boundariesUntilKill.put(node, remaining - 1);
     }
-    if (left == 1 || boundaryCount == killAtBoundary) {
+    if (remaining == 1 || boundaryCount == killAtBoundary) {
       throw new SimulatedNetwork.Crash(node);
     }
   }
@@ -89,37 +92,37 @@
   }
 
   /** Kills a controller at its so manieth boundary from now on. */
-  public void killAfterBoundaries(int number, int boundary) {
-    armed.put(Fleet.controllerName(number), boundary);
+  public void killAfterBoundaries(int exchange, int boundaries) {
+    boundariesUntilKill.put(Fleet.controllerName(exchange), boundaries);
   }
 
   /** Kills a controller now, between two events; it is down already where it was killed before. */
-  public void kill(int number) {
-    String name = Fleet.controllerName(number);
+  public void kill(int exchange) {
+    String name = Fleet.controllerName(exchange);
     if (!down.getOrDefault(name, false)) {
-      world.kill(name);
-      crashed(name);
+      network.kill(name);
+      onCrash(name);
     }
   }
 
-  private void crashed(String name) {
+  private void onCrash(String name) {
     killCount++;
     fleet
         .callers()
-        .establishedCalls(number(name))
-        .forEach(plan -> establishedAtKill.put(plan.sessionIdPrefix(), plan));
-    armed.remove(name);
+        .establishedCalls(exchangeOf(name))
+        .forEach(plannedCall -> establishedAtKill.put(plannedCall.sessionIdPrefix(), plannedCall));
+    boundariesUntilKill.remove(name);
     down.put(name, true);
     disks.get(name).crash();
-    world.schedule(world.now() + downtimeMillis, name, () -> start(name));
+    network.schedule(network.now() + downtimeMillis, name, () -> restart(name));
   }
 
-  private void start(String name) {
+  private void restart(String name) {
     down.put(name, false);
-    fleet.restartController(number(name));
+    fleet.restartController(exchangeOf(name));
   }
 
-  private static int number(String name) {
+  private static int exchangeOf(String name) {
     return Integer.parseInt(name.substring(name.indexOf('-') + 1));
   }
 
@@ -129,17 +132,17 @@
   }
 
   /** How long controllers stay down from now on, ms. */
-  public void setDowntimeMillis(double lasts) {
-    downtimeMillis = lasts;
+  public void setDowntimeMillis(double downtimeMillis) {
+    this.downtimeMillis = downtimeMillis;
   }
 
   /** Makes a controller's disk fail, or work again. */
-  public void setDiskFailing(int number, boolean on) {
-    if (on) {
+  public void setDiskFailing(int exchange, boolean failing) {
+    if (failing) {
       diskFailed = true;
-      world.recorder().recordNote(world.now(), Fleet.controllerName(number), "disk fails");
+      network.recorder().recordNote(network.now(), Fleet.controllerName(exchange), "disk fails");
     }
-    disks.get(Fleet.controllerName(number)).failing(on);
+    disks.get(Fleet.controllerName(exchange)).setFailing(failing);
   }
 
   /** Boundaries passed so far by all controllers. */
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
@@ -15,9 +15,9 @@
  * checker excuses calls by the notes on kills and starts.
  */
 public final class ControllerTrafficView {
-  private final Map<Integer, String> byPort = new HashMap<>();
-  private final Map<String, Hop> places;
-  private final Map<Hop, String> connections = new HashMap<>();
+  private final Map<Integer, String> controllersByPort = new HashMap<>();
+  private final Map<String, Hop> peerAddresses;
+  private final Map<Hop, String> controllersByConnection = new HashMap<>();
 
   /**
    * Makes a view.
@@ -26,26 +26,27 @@
    * @param peers place of each peer by its name
    */
   public ControllerTrafficView(Map<Integer, Hop> controllers, Map<String, Hop> peers) {
-    controllers.forEach((number, hop) -> byPort.put(hop.port(), Fleet.controllerName(number)));
-    places = Map.copyOf(peers);
+    controllers.forEach(
+        (number, hop) -> controllersByPort.put(hop.port(), Fleet.controllerName(number)));
+    peerAddresses = Map.copyOf(peers);
   }
 
   /** All entries, the controllers' added, in the order of their times. */
-  public List<MessageRecorder.Entry> withControllerEntries(List<MessageRecorder.Entry> seen) {
+  public List<MessageRecorder.Entry> withControllerEntries(List<MessageRecorder.Entry> recorded) {
     List<MessageRecorder.Entry> all = new ArrayList<>();
-    for (MessageRecorder.Entry entry : seen) {
+    for (MessageRecorder.Entry entry : recorded) {
       all.add(entry);
-      String controller = entry.message() == null ? null : controller(entry);
+      String controller = entry.message() == null ? null : controllerOf(entry);
       if (controller != null) {
-        all.add(mirrored(entry, controller));
+        all.add(mirror(entry, controller));
       }
     }
     all.sort(Comparator.comparingDouble(MessageRecorder.Entry::time));
     return all;
   }
 
-  private MessageRecorder.Entry mirrored(MessageRecorder.Entry entry, String controller) {
-    Hop peer = places.get(entry.node()).withTransport(entry.peer().transport());
+  private MessageRecorder.Entry mirror(MessageRecorder.Entry entry, String controller) {
+    Hop peer = peerAddresses.get(entry.node()).withTransport(entry.peer().transport());
     boolean sent = entry.kind() == MessageRecorder.Kind.SENT;
     double time = sent ? entry.time() : entry.arrivedAt();
     MessageRecorder.Kind kind = sent ? MessageRecorder.Kind.READ : MessageRecorder.Kind.SENT;
@@ -54,27 +55,27 @@
   }
 
   /** The controller at the other side of a message; null if it is none. */
-  private String controller(MessageRecorder.Entry entry) {
-    String direct = byPort.get(entry.peer().port());
-    if (direct != null || entry.peer().transport() == Transport.UDP) {
-      return direct;
+  private String controllerOf(MessageRecorder.Entry entry) {
+    String controller = controllersByPort.get(entry.peer().port());
+    if (controller != null || entry.peer().transport() == Transport.UDP) {
+      return controller;
     }
     if (entry.kind() == MessageRecorder.Kind.READ) {
-      learn(entry);
+      learnConnection(entry);
     }
-    return connections.get(entry.peer());
+    return controllersByConnection.get(entry.peer());
   }
 
   /** A connection that a controller opened has any port; the Via of its requests tells whose. */
-  private void learn(MessageRecorder.Entry entry) {
-    WireMessage message = WireMessage.read(entry.message());
+  private void learnConnection(MessageRecorder.Entry entry) {
+    WireMessage message = WireMessage.parse(entry.message());
     if (message != null && message.status() == 0) {
-      String by = message.sentBy();
-      int port = Integer.parseInt(by.substring(by.lastIndexOf(':') + 1));
-      if (byPort.containsKey(port)) {
-        connections.put(entry.peer(), byPort.get(port));
+      String sentBy = message.sentBy();
+      int port = Integer.parseInt(sentBy.substring(sentBy.lastIndexOf(':') + 1));
+      if (controllersByPort.containsKey(port)) {
+        controllersByConnection.put(entry.peer(), controllersByPort.get(port));
       } else {
-        connections.remove(entry.peer());
+        controllersByConnection.remove(entry.peer());
       }
     }
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -26,68 +26,69 @@
 
 /** A whole fleet on a world: controllers, their switches, the list, callers. */
 public final class Fleet {
-  private static final String CREW = "standins";
+  private static final String STANDIN_THREAD = "standins";
 
-  private final Network world;
+  private final Network network;
   private final FleetConfig config;
   private final long seed;
-  private final FaultInjection tampering;
+  private final FaultInjection faults;
   private final ControllerRestarts restarts;
   private final TrunkNetwork trunks = new TrunkNetwork();
   private final Map<Integer, SipFront> controllers = new TreeMap<>();
   private final Map<Integer, StandinSwitch> switches = new TreeMap<>();
-  private final Map<Integer, StandinDirectory.Entry> lines = new TreeMap<>();
-  private final Map<Integer, Hop> controllerPlaces = new LinkedHashMap<>();
+  private final Map<Integer, StandinDirectory.Entry> directoryEntries = new TreeMap<>();
+  private final Map<Integer, Hop> controllerAddresses = new LinkedHashMap<>();
   private final List<StandinCallers.CallResult> callResults =
       Collections.synchronizedList(new ArrayList<>());
-  private StandinDirectory list;
+  private StandinDirectory directory;
   private StandinCallers callers;
-  private int generation;
+  private int restartCount;
 
   /** Builds a fleet; time has not begun yet. */
-  public Fleet(Network world, FleetConfig plan, long seed, FaultInjection tampering) {
-    this(world, plan, seed, tampering, null);
+  public Fleet(Network network, FleetConfig config, long seed, FaultInjection faults) {
+    this(network, config, seed, faults, null);
   }
 
   /** Builds all but the controllers, which run as processes of their own at these places. */
-  public Fleet(Network world, FleetConfig plan, long seed, Map<Integer, Hop> outside) {
-    this(world, plan, seed, FaultInjection.NONE, null, outside);
+  public Fleet(
+      Network network, FleetConfig config, long seed, Map<Integer, Hop> externalControllers) {
+    this(network, config, seed, FaultInjection.NONE, null, externalControllers);
   }
 
   /** Builds a fleet whose controllers keep their calls and can be killed; null lives: not so. */
   public Fleet(
-      Network world,
-      FleetConfig plan,
+      Network network,
+      FleetConfig config,
       long seed,
-      FaultInjection tampering,
-      ControllerRestarts lives) {
-    this(world, plan, seed, tampering, lives, Map.of());
+      FaultInjection faults,
+      ControllerRestarts restarts) {
+    this(network, config, seed, faults, restarts, Map.of());
   }
 
   private Fleet(
-      Network world,
-      FleetConfig plan,
+      Network network,
+      FleetConfig config,
       long seed,
-      FaultInjection tampering,
-      ControllerRestarts lives,
-      Map<Integer, Hop> outside) {
-    this.restarts = lives;
-    this.world = world;
-    this.config = plan;
+      FaultInjection faults,
+      ControllerRestarts restarts,
+      Map<Integer, Hop> externalControllers) {
+    this.restarts = restarts;
+    this.network = network;
+    this.config = config;
     this.seed = seed;
-    this.tampering = tampering;
-    layTrunks();
-    place(outside);
+    this.faults = faults;
+    createTrunks();
+    reserveAddresses(externalControllers);
     addStandins();
-    if (lives != null) {
-      lives.setFleet(this);
+    if (restarts != null) {
+      restarts.setFleet(this);
     }
-    for (int i = 0; i < plan.exchangeCount() && outside.isEmpty(); i++) {
+    for (int i = 0; i < config.exchangeCount() && externalControllers.isEmpty(); i++) {
       addController(i);
     }
   }
 
-  private void layTrunks() {
+  private void createTrunks() {
     for (int i = 0; i < config.exchangeCount(); i++) {
       for (int j = i + 1; j < config.exchangeCount(); j++) {
         trunks.addGroup(i, j, config.circuitsPerGroup());
@@ -95,13 +96,14 @@
     }
   }
 
-  private void place(Map<Integer, Hop> outside) {
-    world.reserveAddress("list");
-    world.reserveAddress("callers");
+  private void reserveAddresses(Map<Integer, Hop> externalControllers) {
+    network.reserveAddress("list");
+    network.reserveAddress("callers");
     for (int i = 0; i < config.exchangeCount(); i++) {
-      world.reserveAddress(switchName(i));
-      Hop own = outside.get(i);
-      controllerPlaces.put(i, own == null ? world.reserveAddress(controllerName(i)) : own);
+      network.reserveAddress(switchName(i));
+      Hop address = externalControllers.get(i);
+      controllerAddresses.put(
+          i, address == null ? network.reserveAddress(controllerName(i)) : address);
     }
   }
 
@@ -121,49 +123,54 @@
   }
 
   private void addStandins() {
-    list =
-        world.addNode(
+    directory =
+        network.addNode(
             "list",
-            CREW,
+            STANDIN_THREAD,
             host -> new StandinDirectory(host, config.timing(), config.directoryDelayMillis()));
-    Map<String, Hop> places = new HashMap<>();
-    Map<String, Integer> numbers = new HashMap<>();
+    Map<String, Hop> switchesByDomain = new HashMap<>();
+    Map<String, Integer> exchangesByDomain = new HashMap<>();
     for (int i = 0; i < config.exchangeCount(); i++) {
-      Hop place = world.reserveAddress(switchName(i));
-      places.put(domain(i), place);
-      numbers.put(domain(i), i);
-      String address = "sip:" + place.host() + ':' + place.port();
-      lines.put(
+      Hop switchAddress = network.reserveAddress(switchName(i));
+      switchesByDomain.put(domain(i), switchAddress);
+      exchangesByDomain.put(domain(i), i);
+      String address = "sip:" + switchAddress.host() + ':' + switchAddress.port();
+      directoryEntries.put(
           i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), address, "in-service", -1));
     }
-    list.addEntries(List.copyOf(lines.values()));
+    directory.addEntries(List.copyOf(directoryEntries.values()));
     for (int i = 0; i < config.exchangeCount(); i++) {
-      SwitchConfig switchPlan = switchPlan(i, places, numbers);
+      SwitchConfig switchConfig = switchConfig(i, switchesByDomain, exchangesByDomain);
       switches.put(
           i,
-          world.addNode(switchName(i), CREW, host -> new StandinSwitch(host, switchPlan, trunks)));
+          network.addNode(
+              switchName(i),
+              STANDIN_THREAD,
+              host -> new StandinSwitch(host, switchConfig, trunks)));
     }
-    StandinCallers.Behaviour habits = new StandinCallers.Behaviour(600, 0.5, 400);
+    StandinCallers.Behaviour behaviour = new StandinCallers.Behaviour(600, 0.5, 400);
     callers =
-        world.addNode(
+        network.addNode(
             "callers",
-            CREW,
+            STANDIN_THREAD,
             host ->
                 new StandinCallers(
-                    host, config.timing(), controllerPlaces, habits, callResults::add));
+                    host, config.timing(), controllerAddresses, behaviour, callResults::add));
   }
 
-  private SwitchConfig switchPlan(
-      int number, Map<String, Hop> places, Map<String, Integer> numbers) {
-    Map<String, Integer> widths = new HashMap<>();
-    config.callClasses().forEach(kind -> widths.put(kind.priority(), kind.width()));
+  private SwitchConfig switchConfig(
+      int number, Map<String, Hop> switchesByDomain, Map<String, Integer> exchangesByDomain) {
+    Map<String, Integer> widthsByPriority = new HashMap<>();
+    config
+        .callClasses()
+        .forEach(callClass -> widthsByPriority.put(callClass.priority(), callClass.width()));
     return new SwitchConfig(
         number,
         domain(number),
-        controllerPlaces.get(number),
-        places,
-        numbers,
-        widths,
+        controllerAddresses.get(number),
+        switchesByDomain,
+        exchangesByDomain,
+        widthsByPriority,
         Map.of("5550000", 3),
         config.answerDelayMillis(),
         config.processorModel(),
@@ -171,40 +178,42 @@
   }
 
   private void addController(int number) {
-    CallPolicy.Settings rules = config.policySettings(number);
-    FrontSettings settings = frontSettings(number);
-    SipFront front =
-        world.addNode(
+    CallPolicy.Settings policySettings = config.policySettings(number);
+    FrontSettings frontSettings = frontSettings(number);
+    SipFront frontEnd =
+        network.addNode(
             controllerName(number),
             controllerName(number),
-            host -> front(tampering.hostWrapper().apply(host), settings, rules));
-    controllers.put(number, front);
+            host -> newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
+    controllers.put(number, frontEnd);
   }
 
   /** A controller that was killed starts, from what its disk holds. */
   void restartController(int number) {
-    CallPolicy.Settings rules = config.policySettings(number);
-    FrontSettings settings = frontSettings(number);
-    SipFront front =
-        ((SimulatedNetwork) world)
+    CallPolicy.Settings policySettings = config.policySettings(number);
+    FrontSettings frontSettings = frontSettings(number);
+    SipFront frontEnd =
+        ((SimulatedNetwork) network)
             .restartNode(
                 controllerName(number),
-                host -> front(tampering.hostWrapper().apply(host), settings, rules));
-    controllers.put(number, front);
+                host ->
+                    newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
+    controllers.put(number, frontEnd);
   }
 
-  private SipFront front(SipHost host, FrontSettings settings, CallPolicy.Settings rules) {
-    long own = seed * 1000 + rules.localExchange();
+  private SipFront newFrontEnd(
+      SipHost host, FrontSettings frontSettings, CallPolicy.Settings policySettings) {
+    long policySeed = seed * 1000 + policySettings.localExchange();
     return new SipFront(
         host,
-        settings,
-        rules,
-        tampering.guardFactory().get(),
+        frontSettings,
+        policySettings,
+        faults.guardFactory().get(),
         CallController.Observer.NONE,
-        tampering.policyFactoryFor(rules, own),
+        faults.policyFactoryFor(policySettings, policySeed),
         restarts == null
             ? null
-            : restarts.persistence(controllerName(rules.localExchange()), host));
+            : restarts.persistence(controllerName(policySettings.localExchange()), host));
   }
 
   private FrontSettings frontSettings(int number) {
@@ -212,11 +221,11 @@
         config.callClasses().stream().map(FleetConfig.CallClassConfig::name).toList();
     List<String> priorities =
         config.callClasses().stream().map(FleetConfig.CallClassConfig::priority).toList();
-    Transport toSwitch = number % 2 == 0 ? Transport.TCP : Transport.UDP;
+    Transport switchTransport = number % 2 == 0 ? Transport.TCP : Transport.UDP;
     return new FrontSettings(
         domain(number),
-        world.reserveAddress(switchName(number)).withTransport(toSwitch),
-        world.reserveAddress("list").withTransport(Transport.TCP),
+        network.reserveAddress(switchName(number)).withTransport(switchTransport),
+        network.reserveAddress("list").withTransport(Transport.TCP),
         new ClassTable(names, priorities, List.of(), 0),
         3000,
         FleetConfig.ANSWER_MARGIN_MILLIS,
@@ -229,8 +238,8 @@
   // ---- What scripts do ----------------------------------------------------------------------
 
   /** Sets the calls to be made. */
-  public void setPlannedCalls(List<PlannedCall> plans) {
-    callers.setPlannedCalls(plans);
+  public void setPlannedCalls(List<PlannedCall> plannedCalls) {
+    callers.setPlannedCalls(plannedCalls);
   }
 
   /** What kills controllers and starts them again; null where that is not part of the day. */
@@ -270,34 +279,34 @@
 
   /** The list says that an exchange drains. On the stand-ins' thread. */
   public void drain(int number) {
-    list.scheduleUpdate(List.of(lines.get(number).withState("draining")));
+    directory.scheduleUpdate(List.of(directoryEntries.get(number).withState("draining")));
   }
 
   /** A processor stops: calls through it are cut, its connections reset. */
   public void stop(int number) {
     switches.get(number).disconnectAll();
     switches.get(number).stop();
-    world.setReachable(switchName(number), false);
+    network.setReachable(switchName(number), false);
   }
 
   /** A new processor takes the place of one that stopped; it begins cold. */
   public void startCold(int number) {
-    generation++;
-    StandinDirectory.Entry old = lines.get(number);
-    StandinDirectory.Entry fresh =
+    restartCount++;
+    StandinDirectory.Entry previous = directoryEntries.get(number);
+    StandinDirectory.Entry restarted =
         new StandinDirectory.Entry(
-            "x" + number + "-" + generation,
+            "x" + number + "-" + restartCount,
             number,
-            old.domain(),
-            old.address(),
+            previous.domain(),
+            previous.address(),
             "in-service",
-            world.now());
-    lines.put(number, fresh);
+            network.now());
+    directoryEntries.put(number, restarted);
     Processor.Model model = config.processorModel();
-    world
+    network
         .recorder()
         .recordNote(
-            world.now(),
+            network.now(),
             switchName(number),
             "cold "
                 + model.setupMillis()
@@ -309,8 +318,8 @@
                 + model.coldMultiple()
                 + ' '
                 + model.coldWindowMillis());
-    world.setReachable(switchName(number), true);
+    network.setReachable(switchName(number), true);
     switches.get(number).startCold();
-    list.scheduleUpdate(List.of(old.withState("gone"), fresh));
+    directory.scheduleUpdate(List.of(previous.withState("gone"), restarted));
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
@@ -86,11 +86,11 @@
   }
 
   /** The same with another number of exchanges and rate. */
-  public FleetConfig withSize(int count, double callsEach) {
+  public FleetConfig withSize(int newExchangeCount, double newCallsPerSecond) {
     return new FleetConfig(
-        count,
+        newExchangeCount,
         circuitsPerGroup,
-        callsEach,
+        newCallsPerSecond,
         callClasses,
         processorModel,
         directoryDelayMillis,
@@ -101,25 +101,25 @@
   /** The classes as the policy wants them. */
   List<CallClass> policyClasses() {
     List<CallClass> classes = new ArrayList<>();
-    for (CallClassConfig kind : callClasses) {
+    for (CallClassConfig callClass : callClasses) {
       classes.add(
           new CallClass(
-              kind.worth(),
-              kind.lateWorth(),
-              kind.aimMillis(),
-              kind.callerTimeoutMillis(),
-              kind.width(),
-              kind.holdMillis(),
+              callClass.worth(),
+              callClass.lateWorth(),
+              callClass.aimMillis(),
+              callClass.callerTimeoutMillis(),
+              callClass.width(),
+              callClass.holdMillis(),
               List.of()));
     }
     return classes;
   }
 
   /** What the policy of one controller is told. */
-  CallPolicy.Settings policySettings(int self) {
+  CallPolicy.Settings policySettings(int localExchange) {
     return new CallPolicy.Settings(
         Layout.MESH,
-        self,
+        localExchange,
         exchangeCount,
         policyClasses(),
         5,
--- a/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
@@ -9,74 +9,75 @@
 
 /** What a controller was told of the exchange list, read off the NOTIFYs that it got. */
 final class KnownList {
-  private static final Pattern LINE = Pattern.compile("\\{\"id\":[^}]*\\}");
+  private static final Pattern ENTRY = Pattern.compile("\\{\"id\":[^}]*\\}");
 
   private final Map<String, String> domains = new HashMap<>();
   private final Map<String, String> addresses = new HashMap<>();
-  private final Map<String, Boolean> open = new HashMap<>();
+  private final Map<String, Boolean> inService = new HashMap<>();
   private final Map<String, Double> closedAt = new HashMap<>();
   private long version = -1;
 
-  void read(String body, double now) {
+  void update(String body, double now) {
     if (!body.contains("\"exchanges\"")) {
       return;
     }
     boolean full = body.contains("\"full\":true");
-    long told = Long.parseLong(body.replaceAll("(?s).*\"version\":([0-9]+).*", "$1"));
-    if (!full && told <= version) {
+    long reportedVersion = Long.parseLong(body.replaceAll("(?s).*\"version\":([0-9]+).*", "$1"));
+    if (!full && reportedVersion <= version) {
       return;
     }
-    version = told;
-    Set<String> named = new HashSet<>();
-    Matcher lines = LINE.matcher(body);
-    while (lines.find()) {
-      String line = lines.group();
-      String id = field(line, "id");
-      named.add(id);
-      domains.put(id, field(line, "domain"));
-      addresses.put(id, field(line, "address"));
-      set(id, field(line, "state").equals("in-service"), now);
+    version = reportedVersion;
+    Set<String> listed = new HashSet<>();
+    Matcher entries = ENTRY.matcher(body);
+    while (entries.find()) {
+      String entry = entries.group();
+      String id = field(entry, "id");
+      listed.add(id);
+      domains.put(id, field(entry, "domain"));
+      addresses.put(id, field(entry, "address"));
+      setInService(id, field(entry, "state").equals("in-service"), now);
     }
     if (full) {
-      for (String id : new HashSet<>(open.keySet())) {
-        if (!named.contains(id)) {
-          set(id, false, now);
+      for (String id : new HashSet<>(inService.keySet())) {
+        if (!listed.contains(id)) {
+          setInService(id, false, now);
         }
       }
     }
   }
 
-  private void set(String id, boolean isOpen, double now) {
-    open.put(id, isOpen);
-    if (isOpen) {
+  private void setInService(String id, boolean isInService, double now) {
+    inService.put(id, isInService);
+    if (isInService) {
       closedAt.remove(id);
     } else {
       closedAt.putIfAbsent(id, now);
     }
   }
 
-  private static String field(String line, String name) {
-    return line.replaceAll(".*\"" + name + "\":\"([^\"]*)\".*", "$1");
+  private static String field(String entry, String name) {
+    return entry.replaceAll(".*\"" + name + "\":\"([^\"]*)\".*", "$1");
   }
 
   /** Since when no processor of that domain takes anything new; infinite while one does. */
-  double domainClosed(String domain) {
-    return closed(domains, domain);
+  double domainClosedSince(String domain) {
+    return closedSince(domains, domain);
   }
 
   /** The same by the address of its switch. */
-  double addressClosed(String address) {
-    return closed(addresses, address);
+  double addressClosedSince(String address) {
+    return closedSince(addresses, address);
   }
 
-  private double closed(Map<String, String> by, String value) {
-    double last = Double.NEGATIVE_INFINITY;
-    for (Map.Entry<String, String> entry : by.entrySet()) {
+  private double closedSince(Map<String, String> attributeById, String value) {
+    double latest = Double.NEGATIVE_INFINITY;
+    for (Map.Entry<String, String> entry : attributeById.entrySet()) {
       if (entry.getValue().equals(value)) {
-        boolean isOpen = open.getOrDefault(entry.getKey(), false);
-        last = Math.max(last, isOpen ? Double.POSITIVE_INFINITY : closedAt.get(entry.getKey()));
+        boolean isInService = inService.getOrDefault(entry.getKey(), false);
+        latest =
+            Math.max(latest, isInService ? Double.POSITIVE_INFINITY : closedAt.get(entry.getKey()));
       }
     }
-    return last == Double.NEGATIVE_INFINITY ? Double.POSITIVE_INFINITY : last;
+    return latest == Double.NEGATIVE_INFINITY ? Double.POSITIVE_INFINITY : latest;
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
@@ -9,10 +9,10 @@
 
 /** Draws the calls of a day: Poisson arrivals, uneven destinations, classes by share, surges. */
 public final class LoadGenerator {
-  private final FleetConfig plan;
+  private final FleetConfig config;
   private final SplittableRandom random;
   private final List<Surge> surges = new ArrayList<>();
-  private final double[][] pull;
+  private final double[][] trafficWeights;
 
   /**
    * A time of more calls than usual.
@@ -31,11 +31,11 @@
       String congestedNumber) {}
 
   /** Makes a source of calls. */
-  public LoadGenerator(FleetConfig plan, long seed) {
-    this.plan = plan;
+  public LoadGenerator(FleetConfig config, long seed) {
+    this.config = config;
     this.random = new SplittableRandom(seed);
-    this.pull = new double[plan.exchangeCount()][plan.exchangeCount()];
-    for (double[] row : pull) {
+    this.trafficWeights = new double[config.exchangeCount()][config.exchangeCount()];
+    for (double[] row : trafficWeights) {
       for (int i = 0; i < row.length; i++) {
         row[i] = 0.6 + 0.8 * random.nextDouble();
       }
@@ -49,93 +49,99 @@
   }
 
   /** Draws the calls from the beginning to a clock time, in their order. */
-  public List<PlannedCall> generateUntil(double end) {
+  public List<PlannedCall> generateUntil(double endMillis) {
     List<PlannedCall> calls = new ArrayList<>();
-    double most = surges.stream().mapToDouble(Surge::rateMultiple).max().orElse(1);
-    double rate = plan.exchangeCount() * plan.callsPerSecond() * Math.max(1, most) / 1000;
-    double at = 500;
+    double maxMultiple = surges.stream().mapToDouble(Surge::rateMultiple).max().orElse(1);
+    double callsPerMilli =
+        config.exchangeCount() * config.callsPerSecond() * Math.max(1, maxMultiple) / 1000;
+    double time = 500;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / rate;
-      if (at >= end) {
+      time += -Math.log(1 - random.nextDouble()) / callsPerMilli;
+      if (time >= endMillis) {
         return calls;
       }
-      int from = random.nextInt(plan.exchangeCount());
-      double times = times(at, from);
-      if (random.nextDouble() < times / Math.max(1, most)) {
-        calls.add(call(calls.size(), at, from));
+      int origin = random.nextInt(config.exchangeCount());
+      double multiple = rateMultiple(time, origin);
+      if (random.nextDouble() < multiple / Math.max(1, maxMultiple)) {
+        calls.add(drawCall(calls.size(), time, origin));
       }
     }
   }
 
-  private double times(double at, int from) {
-    double times = 1;
+  private double rateMultiple(double time, int origin) {
+    double multiple = 1;
     for (Surge surge : surges) {
-      boolean now = at >= surge.fromMillis() && at < surge.toMillis();
-      if (now && (surge.originExchange() < 0 || surge.originExchange() == from)) {
-        times = Math.max(times, surge.rateMultiple());
+      boolean active = time >= surge.fromMillis() && time < surge.toMillis();
+      if (active && (surge.originExchange() < 0 || surge.originExchange() == origin)) {
+        multiple = Math.max(multiple, surge.rateMultiple());
       }
     }
-    return times;
+    return multiple;
   }
 
-  private PlannedCall call(int index, double at, int from) {
-    FleetConfig.CallClassConfig kind = kind();
-    String crowd = crowd(at);
-    boolean joins = crowd != null && from != 0 && random.nextDouble() < 0.4;
-    int to = joins ? 0 : destination(from);
+  private PlannedCall drawCall(int index, double time, int origin) {
+    FleetConfig.CallClassConfig callClass = drawCallClass();
+    String congestedNumber = congestedNumber(time);
+    boolean callsCongestedNumber =
+        congestedNumber != null && origin != 0 && random.nextDouble() < 0.4;
+    int destination = callsCongestedNumber ? 0 : drawDestination(origin);
     String number =
-        joins ? crowd : "555" + String.format(Locale.ROOT, "%04d", random.nextInt(9000) + 1000);
-    String session = String.format(Locale.ROOT, "%016x%08x", random.nextLong(), index);
+        callsCongestedNumber
+            ? congestedNumber
+            : "555" + String.format(Locale.ROOT, "%04d", random.nextInt(9000) + 1000);
+    String sessionId = String.format(Locale.ROOT, "%016x%08x", random.nextLong(), index);
     return new PlannedCall(
-        at,
-        session,
-        from,
-        Fleet.domain(to),
+        time,
+        sessionId,
+        origin,
+        Fleet.domain(destination),
         number,
-        kind.priority(),
+        callClass.priority(),
         random.nextBoolean() ? Transport.UDP : Transport.TCP,
-        kind.patienceMillis(),
-        hold(kind),
+        callClass.patienceMillis(),
+        drawHold(callClass),
         2);
   }
 
   /** Exponential, cut off so that every day comes to its end. */
-  private double hold(FleetConfig.CallClassConfig kind) {
-    double drawn = -Math.log(1 - random.nextDouble()) * kind.holdMillis();
-    return Math.max(50, Math.min(drawn, 2.5 * kind.holdMillis()));
+  private double drawHold(FleetConfig.CallClassConfig callClass) {
+    double drawn = -Math.log(1 - random.nextDouble()) * callClass.holdMillis();
+    return Math.max(50, Math.min(drawn, 2.5 * callClass.holdMillis()));
   }
 
-  private String crowd(double at) {
+  private String congestedNumber(double time) {
     for (Surge surge : surges) {
-      if (surge.congestedNumber() != null && at >= surge.fromMillis() && at < surge.toMillis()) {
+      if (surge.congestedNumber() != null
+          && time >= surge.fromMillis()
+          && time < surge.toMillis()) {
         return surge.congestedNumber();
       }
     }
     return null;
   }
 
-  private FleetConfig.CallClassConfig kind() {
+  private FleetConfig.CallClassConfig drawCallClass() {
     double draw = random.nextDouble();
-    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
-      draw -= kind.trafficShare();
+    for (FleetConfig.CallClassConfig callClass : config.callClasses()) {
+      draw -= callClass.trafficShare();
       if (draw < 0) {
-        return kind;
+        return callClass;
       }
     }
-    return plan.callClasses().get(0);
+    return config.callClasses().get(0);
   }
 
-  private int destination(int from) {
+  private int drawDestination(int origin) {
     double sum = 0;
-    for (int i = 0; i < pull.length; i++) {
-      sum += i == from ? 0 : pull[from][i];
+    for (int i = 0; i < trafficWeights.length; i++) {
+      sum += i == origin ? 0 : trafficWeights[origin][i];
     }
     double draw = random.nextDouble() * sum;
-    int last = from;
-    for (int i = 0; i < pull.length; i++) {
-      if (i != from) {
+    int last = origin;
+    for (int i = 0; i < trafficWeights.length; i++) {
+      if (i != origin) {
         last = i;
-        draw -= pull[from][i];
+        draw -= trafficWeights[origin][i];
         if (draw < 0) {
           return i;
         }
--- a/rehearsal/src/main/java/coveladder/rehearsal/MessageRecorder.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/MessageRecorder.java
@@ -14,10 +14,10 @@
  * several threads; bounded in records.
  */
 public final class MessageRecorder {
-  private static final int MOST = 20_000_000;
+  private static final int MAX_ENTRIES = 20_000_000;
 
   private final List<Entry> entries = new ArrayList<>();
-  private boolean cut;
+  private boolean truncated;
 
   /** What an entry is of. */
   public enum Kind {
@@ -59,8 +59,8 @@
   }
 
   /** Writes down that a message was read. */
-  public void recordRead(double time, String node, Hop peer, double arrived, byte[] message) {
-    add(new Entry(time, node, Kind.READ, peer, arrived, message, null, null));
+  public void recordRead(double time, String node, Hop peer, double arrivedAt, byte[] message) {
+    add(new Entry(time, node, Kind.READ, peer, arrivedAt, message, null, null));
   }
 
   /** Writes down that a connection failed. */
@@ -92,17 +92,18 @@
   }
 
   private synchronized void add(Entry entry) {
-    if (entries.size() < MOST) {
+    if (entries.size() < MAX_ENTRIES) {
       entries.add(entry);
     } else {
-      cut = true;
+      truncated = true;
     }
   }
 
   /** All entries in the order of their times; those of one node stay in their order. */
   public synchronized List<Entry> entries() {
-    if (cut) {
-      throw new IllegalStateException("more than " + MOST + " messages: the tap is not whole");
+    if (truncated) {
+      throw new IllegalStateException(
+          "more than " + MAX_ENTRIES + " messages: the tap is not whole");
     }
     List<Entry> sorted = new ArrayList<>(entries);
     sorted.sort(Comparator.comparingDouble(Entry::time));
--- a/rehearsal/src/main/java/coveladder/rehearsal/Network.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Network.java
@@ -15,18 +15,18 @@
   /**
    * Puts a node on its address.
    *
-   * @param crew nodes of one crew share one thread
+   * @param thread nodes of one crew share one thread
    */
-  <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker);
+  <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory);
 
   /** Does something to a node, on its thread, at a clock time in milliseconds. */
   void schedule(double time, String name, Runnable action);
 
   /** Stops a node from reading, sending and timing for so long, ms; what comes meanwhile waits. */
-  void freeze(String name, double lasts);
+  void freeze(String name, double durationMillis);
 
   /** Takes a node off the network, its connections reset; or puts it back. */
-  void setReachable(String name, boolean on);
+  void setReachable(String name, boolean reachable);
 
   /** Resets all stream connections of a node. */
   void resetConnections(String name);
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -8,10 +8,10 @@
 
 /** Plays a day on a world and has it judged. */
 public final class Rehearsal {
-  private static final double SETTLE = 45_000;
-  private static final double SLACK = 60;
-  private static final double RESUMES = 500;
-  private static final double LET_GO = 70_000;
+  private static final double SETTLE_MILLIS = 45_000;
+  private static final double ANSWER_SLACK_MILLIS = 60;
+  private static final double RECOVERY_MILLIS = 500;
+  private static final double RECOVERY_RELEASE_MILLIS = 70_000;
 
   private Rehearsal() {}
 
@@ -43,49 +43,58 @@
   }
 
   /** Plays a day to its end. */
-  public static Result play(Network world, Scenario day, long seed, FaultInjection tampering) {
-    return play(world, day, seed, tampering, null);
+  public static Result play(Network network, Scenario scenario, long seed, FaultInjection faults) {
+    return play(network, scenario, seed, faults, null);
   }
 
   /** Has judged what crossed the wire of a fleet. */
-  public static RuleReport checkRules(List<MessageRecorder.Entry> entries, FleetConfig plan) {
-    double life = plan.timing().transactionTimeout();
-    Checker.Figures figures =
-        new Checker.Figures(
-            FleetConfig.GUARD_TIME_MILLIS, FleetConfig.DRAIN_GRACE_MILLIS, SLACK, life, RESUMES);
+  public static RuleReport checkRules(List<MessageRecorder.Entry> entries, FleetConfig config) {
+    double attemptTimeout = config.timing().transactionTimeout();
+    Checker.Limits limits =
+        new Checker.Limits(
+            FleetConfig.GUARD_TIME_MILLIS,
+            FleetConfig.DRAIN_GRACE_MILLIS,
+            ANSWER_SLACK_MILLIS,
+            attemptTimeout,
+            RECOVERY_MILLIS);
     Set<String> controllers = new TreeSet<>();
-    for (int i = 0; i < plan.exchangeCount(); i++) {
+    for (int i = 0; i < config.exchangeCount(); i++) {
       controllers.add(Fleet.controllerName(i));
     }
-    return new Checker(figures, controllers).check(entries);
+    return new Checker(limits, controllers).check(entries);
   }
 
   /** Plays a day in virtual time whose controllers keep their calls and are killed. */
   public static Result playWithRestarts(
-      SimulatedNetwork world, Scenario day, long seed, ControllerRestarts lives) {
-    return play(world, day, seed, FaultInjection.NONE, lives);
+      SimulatedNetwork network, Scenario scenario, long seed, ControllerRestarts restarts) {
+    return play(network, scenario, seed, FaultInjection.NONE, restarts);
   }
 
   /** The same with something in between, such as a mutation. */
   static Result play(
-      Network world, Scenario day, long seed, FaultInjection tampering, ControllerRestarts lives) {
-    Fleet fleet = new Fleet(world, day.fleetConfig(), seed, tampering, lives);
-    List<PlannedCall> calls = day.load().apply(seed).generateUntil(day.durationMillis());
+      Network network,
+      Scenario scenario,
+      long seed,
+      FaultInjection faults,
+      ControllerRestarts restarts) {
+    Fleet fleet = new Fleet(network, scenario.fleetConfig(), seed, faults, restarts);
+    List<PlannedCall> calls = scenario.load().apply(seed).generateUntil(scenario.durationMillis());
     fleet.setPlannedCalls(calls);
-    day.script().accept(world, fleet);
-    world.runUntil(
-        day.durationMillis() + SETTLE,
-        () -> world.now() > day.durationMillis() && fleet.callers().isDone());
-    world.runUntil(world.now() + (lives == null ? 2_000 : LET_GO), () -> false);
-    List<MessageRecorder.Entry> entries = world.recorder().entries();
-    RuleReport verdict = checkRules(entries, day.fleetConfig());
+    scenario.script().accept(network, fleet);
+    network.runUntil(
+        scenario.durationMillis() + SETTLE_MILLIS,
+        () -> network.now() > scenario.durationMillis() && fleet.callers().isDone());
+    network.runUntil(
+        network.now() + (restarts == null ? 2_000 : RECOVERY_RELEASE_MILLIS), () -> false);
+    List<MessageRecorder.Entry> entries = network.recorder().entries();
+    RuleReport report = checkRules(entries, scenario.fleetConfig());
     return new Result(
-        verdict,
+        report,
         calls.size(),
         fleet.callResults(),
         entries.stream().filter(e -> e.kind() == MessageRecorder.Kind.SENT).count(),
         fleet.trunks().busyCircuits(),
-        day.fleetConfig(),
-        lives);
+        scenario.fleetConfig(),
+        restarts);
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
@@ -7,11 +7,11 @@
 
 /** What the checker found: for each rule how much was looked at and what broke it. */
 public final class RuleReport {
-  private static final int KEPT = 20;
+  private static final int MAX_TEXTS_PER_RULE = 20;
 
-  private final Map<Rule, List<String>> breachCount = new EnumMap<>(Rule.class);
-  private final Map<Rule, Long> checkCount = new EnumMap<>(Rule.class);
-  private final Map<Rule, Long> broken = new EnumMap<>(Rule.class);
+  private final Map<Rule, List<String>> textsByRule = new EnumMap<>(Rule.class);
+  private final Map<Rule, Long> checksByRule = new EnumMap<>(Rule.class);
+  private final Map<Rule, Long> breachesByRule = new EnumMap<>(Rule.class);
 
   /** The five rules of the brief. */
   public enum Rule {
@@ -29,46 +29,46 @@
 
   /** Counts one thing that a rule was applied to. */
   void countCheck(Rule rule) {
-    checkCount.merge(rule, 1L, Long::sum);
+    checksByRule.merge(rule, 1L, Long::sum);
   }
 
   /** Writes a breach down. */
-  void addBreach(Rule rule, String what) {
-    broken.merge(rule, 1L, Long::sum);
-    List<String> texts = breachCount.computeIfAbsent(rule, r -> new ArrayList<>());
-    if (texts.size() < KEPT) {
-      texts.add(what);
+  void addBreach(Rule rule, String text) {
+    breachesByRule.merge(rule, 1L, Long::sum);
+    List<String> texts = textsByRule.computeIfAbsent(rule, r -> new ArrayList<>());
+    if (texts.size() < MAX_TEXTS_PER_RULE) {
+      texts.add(text);
     }
   }
 
   /** Breaches of a rule. */
   public long breachCount(Rule rule) {
-    return broken.getOrDefault(rule, 0L);
+    return breachesByRule.getOrDefault(rule, 0L);
   }
 
   /** Breaches of all rules. */
   public long breachCount() {
-    return broken.values().stream().mapToLong(Long::longValue).sum();
+    return breachesByRule.values().stream().mapToLong(Long::longValue).sum();
   }
 
   /** How often a rule was applied. */
   public long checkCount(Rule rule) {
-    return checkCount.getOrDefault(rule, 0L);
+    return checksByRule.getOrDefault(rule, 0L);
   }
 
   /** The first breaches of a rule, in words. */
   public List<String> breachTexts(Rule rule) {
-    return breachCount.getOrDefault(rule, List.of());
+    return textsByRule.getOrDefault(rule, List.of());
   }
 
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
     for (Rule rule : Rule.values()) {
-      String word = rule.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
+      String ruleName = rule.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
       out.append(
           String.format(
-              "%-16s %8d looked at  %6d broken%n", word, checkCount(rule), breachCount(rule)));
+              "%-16s %8d looked at  %6d broken%n", ruleName, checkCount(rule), breachCount(rule)));
       breachTexts(rule).forEach(text -> out.append("    ").append(text).append('\n'));
     }
     return out.toString();
--- a/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
@@ -16,10 +16,10 @@
  * each, or one day with a kill at each boundary.
  */
 public final class SeedSweep {
-  private static final RecoveryRate.Budget BUDGET = new RecoveryRate.Budget(200, 300);
+  private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
 
-  private final LongFunction<Rehearsal.Result> player;
-  private final List<FailedRun> failing = Collections.synchronizedList(new ArrayList<>());
+  private final LongFunction<Rehearsal.Result> scenarioRunner;
+  private final List<FailedRun> failedRuns = Collections.synchronizedList(new ArrayList<>());
   private final AtomicLong callCount = new AtomicLong();
   private final AtomicInteger runCount = new AtomicInteger();
 
@@ -32,16 +32,16 @@
   public record FailedRun(long seed, String description) {}
 
   /** Makes a sweep of what is played for each number. */
-  private SeedSweep(LongFunction<Rehearsal.Result> player) {
-    this.player = player;
+  private SeedSweep(LongFunction<Rehearsal.Result> scenarioRunner) {
+    this.scenarioRunner = scenarioRunner;
   }
 
   /** A sweep over the day of each seed. */
-  public static SeedSweep ofScenarios(LongFunction<Scenario> days, FaultInjection tampering) {
+  public static SeedSweep ofScenarios(LongFunction<Scenario> scenarioOf, FaultInjection faults) {
     return new SeedSweep(
         seed -> {
-          try (Network world = new SimulatedNetwork(seed)) {
-            return Rehearsal.play(world, days.apply(seed), seed, tampering);
+          try (Network network = new SimulatedNetwork(seed)) {
+            return Rehearsal.play(network, scenarioOf.apply(seed), seed, faults);
           }
         });
   }
@@ -52,46 +52,47 @@
   }
 
   /** A sweep over one day that is played with a kill at each boundary, by its number. */
-  public static SeedSweep ofBoundaries(Scenario day, long seed) {
-    return new SeedSweep(boundary -> playWithKillAt(day, seed, boundary));
+  public static SeedSweep ofBoundaries(Scenario scenario, long seed) {
+    return new SeedSweep(boundary -> playWithKillAt(scenario, seed, boundary));
   }
 
   /** Plays a day whose controllers keep their calls; a kill at a boundary, or at none. */
-  public static Rehearsal.Result playWithKillAt(Scenario day, long seed, long boundary) {
-    try (SimulatedNetwork world = new SimulatedNetwork(seed)) {
-      ControllerRestarts lives = new ControllerRestarts(world, BUDGET, seed);
-      lives.killAtBoundary(boundary);
-      return Rehearsal.playWithRestarts(world, day, seed, lives);
+  public static Rehearsal.Result playWithKillAt(Scenario scenario, long seed, long boundary) {
+    try (SimulatedNetwork network = new SimulatedNetwork(seed)) {
+      ControllerRestarts restarts = new ControllerRestarts(network, RECOVERY_BUDGET, seed);
+      restarts.killAtBoundary(boundary);
+      return Rehearsal.playWithRestarts(network, scenario, seed, restarts);
     }
   }
 
   /** Plays so many seeds from the first on; returns the failing ones in order. */
-  public List<FailedRun> run(long first, int count, int threads) throws InterruptedException {
+  public List<FailedRun> run(long firstSeed, int count, int threads) throws InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
-    for (long seed = first; seed < first + count; seed++) {
-      long own = seed;
-      pool.execute(() -> one(own));
+    for (long seed = firstSeed; seed < firstSeed + count; seed++) {
+      long runSeed = seed;
+      pool.execute(() -> runOne(runSeed));
     }
     pool.shutdown();
     if (!pool.awaitTermination(2, TimeUnit.HOURS)) {
       pool.shutdownNow();
     }
-    List<FailedRun> found = new ArrayList<>(failing);
-    found.sort((a, b) -> Long.compare(a.seed(), b.seed()));
-    return found;
+    List<FailedRun> sorted = new ArrayList<>(failedRuns);
+    sorted.sort((a, b) -> Long.compare(a.seed(), b.seed()));
+    return sorted;
   }
 
-  private void one(long seed) {
+  private void runOne(long seed) {
     try {
-      Rehearsal.Result result = player.apply(seed);
+      Rehearsal.Result result = scenarioRunner.apply(seed);
       callCount.addAndGet(result.plannedCallCount());
       if (!result.isClean()) {
         int missing = result.plannedCallCount() - result.callResults().size();
-        String open = " calls without end: " + missing + ", circuits held: ";
-        failing.add(new FailedRun(seed, result.ruleReport() + open + result.busyCircuits()));
+        String unfinished = " calls without end: " + missing + ", circuits held: ";
+        failedRuns.add(
+            new FailedRun(seed, result.ruleReport() + unfinished + result.busyCircuits()));
       }
     } catch (RuntimeException e) {
-      failing.add(new FailedRun(seed, "threw " + e + " at " + e.getStackTrace()[0]));
+      failedRuns.add(new FailedRun(seed, "threw " + e + " at " + e.getStackTrace()[0]));
     }
     runCount.incrementAndGet();
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
@@ -6,66 +6,73 @@
 
 /** Service by class: the worth of calls that stood in time and were not cut, over that offered. */
 public final class ServiceReport {
-  private final FleetConfig plan;
-  private final List<CallResult> fates;
+  private final FleetConfig config;
+  private final List<CallResult> callResults;
 
   /** Makes a report. */
-  public ServiceReport(FleetConfig plan, List<CallResult> fates) {
-    this.plan = plan;
-    this.fates = fates;
+  public ServiceReport(FleetConfig config, List<CallResult> callResults) {
+    this.config = config;
+    this.callResults = callResults;
   }
 
   /** Share of the worth offered that was served, all classes together; NaN without calls. */
   public double service() {
     double offered = 0;
     double served = 0;
-    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
-      List<CallResult> own = of(kind);
-      offered += kind.worth() * own.size();
-      served += kind.worth() * own.stream().mapToDouble(fate -> earned(kind, fate)).sum();
+    for (FleetConfig.CallClassConfig callClass : config.callClasses()) {
+      List<CallResult> results = resultsOf(callClass);
+      offered += callClass.worth() * results.size();
+      served +=
+          callClass.worth()
+              * results.stream().mapToDouble(result -> earnedShare(callClass, result)).sum();
     }
     return served / offered;
   }
 
   /** Share of a class's calls, late ones by what they still earn. */
-  public double service(FleetConfig.CallClassConfig kind) {
-    List<CallResult> own = of(kind);
-    return own.stream().mapToDouble(fate -> earned(kind, fate)).sum() / own.size();
+  public double service(FleetConfig.CallClassConfig callClass) {
+    List<CallResult> results = resultsOf(callClass);
+    return results.stream().mapToDouble(result -> earnedShare(callClass, result)).sum()
+        / results.size();
   }
 
-  private List<CallResult> of(FleetConfig.CallClassConfig kind) {
-    return fates.stream().filter(f -> f.plannedCall().priority().equals(kind.priority())).toList();
+  private List<CallResult> resultsOf(FleetConfig.CallClassConfig callClass) {
+    return callResults.stream()
+        .filter(result -> result.plannedCall().priority().equals(callClass.priority()))
+        .toList();
   }
 
-  private static double earned(FleetConfig.CallClassConfig kind, CallResult fate) {
-    if (fate.establishedAfterMillis() < 0 || fate.disconnected()) {
+  private static double earnedShare(FleetConfig.CallClassConfig callClass, CallResult result) {
+    if (result.establishedAfterMillis() < 0 || result.disconnected()) {
       return 0;
     }
-    return fate.establishedAfterMillis() <= kind.aimMillis() ? 1 : kind.lateWorth();
+    return result.establishedAfterMillis() <= callClass.aimMillis() ? 1 : callClass.lateWorth();
   }
 
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
-    String head = "class             calls  in time    late     cut  not set up  service%n";
-    out.append(String.format(Locale.ROOT, head));
-    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
-      List<CallResult> own = of(kind);
-      long stood =
-          own.stream().filter(f -> f.establishedAfterMillis() >= 0 && !f.disconnected()).count();
-      long inTime = own.stream().filter(f -> earned(kind, f) == 1).count();
-      long cut = own.stream().filter(CallResult::disconnected).count();
+    String header = "class             calls  in time    late     cut  not set up  service%n";
+    out.append(String.format(Locale.ROOT, header));
+    for (FleetConfig.CallClassConfig callClass : config.callClasses()) {
+      List<CallResult> results = resultsOf(callClass);
+      long established =
+          results.stream()
+              .filter(result -> result.establishedAfterMillis() >= 0 && !result.disconnected())
+              .count();
+      long inTime = results.stream().filter(result -> earnedShare(callClass, result) == 1).count();
+      long disconnected = results.stream().filter(CallResult::disconnected).count();
       out.append(
           String.format(
               Locale.ROOT,
               "%-15s %7d  %7d %7d %7d  %10d   %.3f%n",
-              kind.name(),
-              own.size(),
+              callClass.name(),
+              results.size(),
               inTime,
-              stood - inTime,
-              cut,
-              own.size() - stood - cut,
-              service(kind)));
+              established - inTime,
+              disconnected,
+              results.size() - established - disconnected,
+              service(callClass)));
     }
     return out.append(String.format(Locale.ROOT, "all by worth   %47s %.3f%n", "", service()))
         .toString();
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
@@ -22,15 +22,15 @@
 public final class SimulatedNetwork implements Network {
   private static final int PORT = 5060;
 
-  private final VirtualTime time = new VirtualTime();
+  private final VirtualTime virtualTime = new VirtualTime();
   private final SplittableRandom random;
-  private final MessageRecorder tap = new MessageRecorder();
-  private final Map<String, Node> byName = new HashMap<>();
-  private final Map<String, Node> byHost = new HashMap<>();
+  private final MessageRecorder recorder = new MessageRecorder();
+  private final Map<String, Node> nodesByName = new HashMap<>();
+  private final Map<String, Node> nodesByHost = new HashMap<>();
   private Conditions conditions = Conditions.NORMAL;
   private Consumer<String> onBoundary = node -> {};
-  private Consumer<String> crashed = node -> {};
-  private int ports = 20_000;
+  private Consumer<String> onCrash = node -> {};
+  private int nextPort = 20_000;
 
   /** Makes an empty network. */
   public SimulatedNetwork(long seed) {
@@ -53,12 +53,12 @@
   private final class Node implements SipHost {
     private final String name;
     private final String host;
-    private final SplittableRandom own = random.split();
+    private final SplittableRandom nodeRandom = random.split();
     private final Map<Hop, Connection> connections = new HashMap<>();
-    private SipNode inner;
+    private SipNode element;
     private boolean reachable = true;
     private double frozenUntil;
-    private int life;
+    private int incarnation;
 
     Node(String name, String host) {
       this.name = name;
@@ -67,19 +67,19 @@
 
     @Override
     public double now() {
-      return time.now();
+      return virtualTime.now();
     }
 
     @Override
     public Timer schedule(double delay, Runnable task) {
-      Frozen timer = new Frozen(this, task);
-      timer.running = time.at(time.now() + delay, timer);
+      FreezableTimer timer = new FreezableTimer(this, task);
+      timer.scheduled = virtualTime.schedule(virtualTime.now() + delay, timer);
       return timer;
     }
 
     @Override
     public RandomGenerator random() {
-      return own;
+      return nodeRandom;
     }
 
     @Override
@@ -90,36 +90,36 @@
     @Override
     public void send(Hop to, byte[] message) {
       onBoundary.accept(name);
-      tap.recordSent(time.now(), name, to, message);
+      recorder.recordSent(virtualTime.now(), name, to, message);
       if (!reachable) {
         return;
       }
       if (to.transport() == Transport.UDP) {
-        datagram(this, to, message);
+        sendDatagram(this, to, message);
       } else {
-        stream(this, to, message);
+        sendStream(this, to, message);
       }
     }
 
-    void read(Hop from, byte[] message, double arrived) {
+    void receive(Hop from, byte[] message, double arrivedAt) {
       if (reachable) {
-        tap.recordRead(time.now(), name, from, arrived, message);
-        inner.receive(from, message, arrived);
+        recorder.recordRead(virtualTime.now(), name, from, arrivedAt, message);
+        element.receive(from, message, arrivedAt);
         onBoundary.accept(name);
       }
     }
 
-    void failed(Hop hop, Failure failure) {
+    void connectionFailed(Hop hop, Failure failure) {
       if (reachable) {
-        tap.recordFailure(time.now(), name, hop, failure);
-        inner.connectionFailed(hop, failure);
+        recorder.recordFailure(virtualTime.now(), name, hop, failure);
+        element.connectionFailed(hop, failure);
       }
     }
 
     /** Runs a task now, or once the node thaws. */
     void whenThawed(Runnable task) {
-      if (time.now() < frozenUntil) {
-        time.at(frozenUntil, () -> whenThawed(task));
+      if (virtualTime.now() < frozenUntil) {
+        virtualTime.schedule(frozenUntil, () -> whenThawed(task));
       } else {
         task.run();
       }
@@ -127,15 +127,15 @@
   }
 
   /** A timer of a node, held back while it is frozen. */
-  private static final class Frozen implements Runnable, SipHost.Timer {
+  private static final class FreezableTimer implements Runnable, SipHost.Timer {
     private final Node node;
-    private final int life;
+    private final int incarnation;
     private Runnable task;
-    private SipHost.Timer running;
+    private SipHost.Timer scheduled;
 
-    Frozen(Node node, Runnable task) {
+    FreezableTimer(Node node, Runnable task) {
       this.node = node;
-      this.life = node.life;
+      this.incarnation = node.incarnation;
       this.task = task;
     }
 
@@ -145,7 +145,7 @@
           () -> {
             Runnable due = task;
             task = null;
-            if (due != null && life == node.life) {
+            if (due != null && incarnation == node.incarnation) {
               due.run();
             }
           });
@@ -154,7 +154,7 @@
     @Override
     public void cancel() {
       task = null;
-      running.cancel();
+      scheduled.cancel();
     }
   }
 
@@ -162,7 +162,7 @@
   private static final class Connection {
     private final Node[] ends;
     private final Hop[] peers;
-    private final double[] last = new double[2];
+    private final double[] lastArrival = new double[2];
     private boolean open = true;
 
     Connection(Node from, Node to, Hop toPeer, Hop fromPeer) {
@@ -175,54 +175,55 @@
 
   @Override
   public Hop reserveAddress(String name) {
-    Node node = byName.computeIfAbsent(name, n -> new Node(n, "10.0.0." + (byName.size() + 1)));
-    byHost.put(node.host, node);
+    Node node =
+        nodesByName.computeIfAbsent(name, n -> new Node(n, "10.0.0." + (nodesByName.size() + 1)));
+    nodesByHost.put(node.host, node);
     return node.localHop(Transport.UDP);
   }
 
   @Override
-  public <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker) {
+  public <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory) {
     reserveAddress(name);
-    Node node = byName.get(name);
-    N made = maker.apply(node);
-    node.inner = made;
-    time.at(time.now(), () -> node.whenThawed(made::start));
-    return made;
+    Node node = nodesByName.get(name);
+    N element = factory.apply(node);
+    node.element = element;
+    virtualTime.schedule(virtualTime.now(), () -> node.whenThawed(element::start));
+    return element;
   }
 
   /**
    * Names who is told at each message of a node, before it is sent and after it was taken, and may
    * throw a {@link Crash} there; and who is told of a node that crashed so, and was killed.
    */
-  public void onBoundary(Consumer<String> at, Consumer<String> whenCrashed) {
-    onBoundary = at;
-    crashed = whenCrashed;
+  public void onBoundary(Consumer<String> listener, Consumer<String> crashListener) {
+    onBoundary = listener;
+    onCrash = crashListener;
   }
 
   /** Kills a node: its timers, connections and memory are gone, and it hears nothing. */
   public void kill(String name) {
-    tap.recordNote(time.now(), name, "killed");
+    recorder.recordNote(virtualTime.now(), name, "killed");
     setReachable(name, false);
-    byName.get(name).life++;
+    nodesByName.get(name).incarnation++;
   }
 
   /** Starts a node that was killed, with nothing but what its maker knows. */
-  public <N extends SipNode> N restartNode(String name, Function<SipHost, N> maker) {
-    tap.recordNote(time.now(), name, "started");
-    Node node = byName.get(name);
+  public <N extends SipNode> N restartNode(String name, Function<SipHost, N> factory) {
+    recorder.recordNote(virtualTime.now(), name, "started");
+    Node node = nodesByName.get(name);
     node.reachable = true;
-    return addNode(name, "", maker);
+    return addNode(name, "", factory);
   }
 
   // ---- The wire -----------------------------------------------------------------------------
 
-  private double way() {
+  private double randomDelay() {
     return conditions.minDelayMillis()
         + (conditions.maxDelayMillis() - conditions.minDelayMillis()) * random.nextDouble();
   }
 
-  private void datagram(Node from, Hop to, byte[] message) {
-    Node target = byHost.get(to.host());
+  private void sendDatagram(Node from, Hop to, byte[] message) {
+    Node target = nodesByHost.get(to.host());
     if (target == null || to.port() != PORT) {
       return;
     }
@@ -230,45 +231,49 @@
     copies += random.nextDouble() < conditions.duplicationRate() ? 1 : 0;
     Hop source = from.localHop(Transport.UDP);
     for (int i = 0; i < copies; i++) {
-      double arrives = time.now() + way();
-      time.at(arrives, () -> target.whenThawed(() -> target.read(source, message, arrives)));
+      double arrivesAt = virtualTime.now() + randomDelay();
+      virtualTime.schedule(
+          arrivesAt, () -> target.whenThawed(() -> target.receive(source, message, arrivesAt)));
     }
   }
 
-  private void stream(Node from, Hop to, byte[] message) {
+  private void sendStream(Node from, Hop to, byte[] message) {
     Connection connection = from.connections.get(to);
     if (connection == null) {
       connection = connect(from, to);
     }
     if (connection == null) {
-      time.at(time.now() + way(), () -> from.whenThawed(() -> from.failed(to, Failure.REFUSED)));
+      virtualTime.schedule(
+          virtualTime.now() + randomDelay(),
+          () -> from.whenThawed(() -> from.connectionFailed(to, Failure.REFUSED)));
       return;
     }
     int side = connection.ends[0] == from ? 0 : 1;
-    Connection used = connection;
-    Node target = used.ends[1 - side];
-    double arrives = Math.max(used.last[side], time.now() + way());
-    used.last[side] = arrives;
-    time.at(arrives, () -> target.whenThawed(() -> deliver(used, side, message, arrives)));
+    Connection open = connection;
+    Node target = open.ends[1 - side];
+    double arrivesAt = Math.max(open.lastArrival[side], virtualTime.now() + randomDelay());
+    open.lastArrival[side] = arrivesAt;
+    virtualTime.schedule(
+        arrivesAt, () -> target.whenThawed(() -> deliver(open, side, message, arrivesAt)));
   }
 
-  private static void deliver(Connection used, int side, byte[] message, double arrives) {
-    if (used.open) {
-      used.ends[1 - side].read(used.peers[1 - side], message, arrives);
+  private static void deliver(Connection connection, int side, byte[] message, double arrivesAt) {
+    if (connection.open) {
+      connection.ends[1 - side].receive(connection.peers[1 - side], message, arrivesAt);
     }
   }
 
   private Connection connect(Node from, Hop to) {
-    Node target = byHost.get(to.host());
+    Node target = nodesByHost.get(to.host());
     if (target == null || to.port() != PORT || !target.reachable) {
       return null;
     }
-    Hop back = new Hop(Transport.TCP, from.host, ports++);
-    Connection made = new Connection(from, target, to, back);
-    from.connections.put(to, made);
-    target.connections.put(back, made);
-    made.last[0] = time.now() + 2 * way();
-    return made;
+    Hop returnAddress = new Hop(Transport.TCP, from.host, nextPort++);
+    Connection connection = new Connection(from, target, to, returnAddress);
+    from.connections.put(to, connection);
+    target.connections.put(returnAddress, connection);
+    connection.lastArrival[0] = virtualTime.now() + 2 * randomDelay();
+    return connection;
   }
 
   private void reset(Connection connection) {
@@ -280,41 +285,43 @@
       Node end = connection.ends[side];
       Hop peer = connection.peers[side];
       end.connections.remove(peer, connection);
-      time.at(time.now() + way(), () -> end.whenThawed(() -> end.failed(peer, Failure.RESET)));
+      virtualTime.schedule(
+          virtualTime.now() + randomDelay(),
+          () -> end.whenThawed(() -> end.connectionFailed(peer, Failure.RESET)));
     }
   }
 
   // ---- Faults -------------------------------------------------------------------------------
 
   @Override
-  public void schedule(double when, String name, Runnable action) {
-    time.at(when, action);
+  public void schedule(double time, String name, Runnable action) {
+    virtualTime.schedule(time, action);
   }
 
   @Override
-  public void freeze(String name, double lasts) {
-    tap.recordNote(time.now(), name, "frozen for " + lasts);
-    byName.get(name).frozenUntil = time.now() + lasts;
+  public void freeze(String name, double durationMillis) {
+    recorder.recordNote(virtualTime.now(), name, "frozen for " + durationMillis);
+    nodesByName.get(name).frozenUntil = virtualTime.now() + durationMillis;
   }
 
   @Override
-  public void setReachable(String name, boolean on) {
-    Node node = byName.get(name);
-    if (!on) {
+  public void setReachable(String name, boolean reachable) {
+    Node node = nodesByName.get(name);
+    if (!reachable) {
       resetConnections(name);
     }
-    node.reachable = on;
+    node.reachable = reachable;
   }
 
   @Override
   public void resetConnections(String name) {
-    List<Connection> held = new ArrayList<>(byName.get(name).connections.values());
-    held.forEach(this::reset);
+    List<Connection> connections = new ArrayList<>(nodesByName.get(name).connections.values());
+    connections.forEach(this::reset);
   }
 
   @Override
-  public void setConditions(Conditions news) {
-    conditions = news;
+  public void setConditions(Conditions newConditions) {
+    conditions = newConditions;
   }
 
   // ---- Time ---------------------------------------------------------------------------------
@@ -328,22 +335,22 @@
 
   private boolean step(double until) {
     try {
-      return time.step(until);
+      return virtualTime.runNext(until);
     } catch (Crash crash) {
       kill(crash.node);
-      crashed.accept(crash.node);
+      onCrash.accept(crash.node);
       return true;
     }
   }
 
   @Override
   public double now() {
-    return time.now();
+    return virtualTime.now();
   }
 
   @Override
   public MessageRecorder recorder() {
-    return tap;
+    return recorder;
   }
 
   @Override
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -22,16 +22,16 @@
 /** The network of one machine: every node on loopback sockets, in real time. */
 public final class SocketNetwork implements Network {
   private static final String HOST = "127.0.0.1";
-  private static final int QUEUE = 200_000;
+  private static final int QUEUE_CAPACITY = 200_000;
 
-  private final long origin = System.nanoTime();
+  private final long originNanos = System.nanoTime();
   private final long seed;
   private final Sockets sockets;
-  private final MessageRecorder tap = new MessageRecorder();
-  private final Map<String, EventLoop> loops = new LinkedHashMap<>();
+  private final MessageRecorder recorder = new MessageRecorder();
+  private final Map<String, EventLoop> loopsByThread = new LinkedHashMap<>();
   private final Map<String, Node> nodes = new HashMap<>();
   private volatile Conditions conditions = Conditions.NORMAL;
-  private boolean running;
+  private boolean started;
 
   /** Makes an empty network; the seed is of what nodes draw and of what befalls datagrams. */
   public SocketNetwork(long seed) throws IOException {
@@ -44,15 +44,15 @@
     private final String name;
     private final EventLoop loop;
     private final SocketNode socket;
-    private final SplittableRandom fate;
-    private SipNode inner;
+    private final SplittableRandom random;
+    private SipNode element;
 
     Node(String name, EventLoop loop) throws IOException {
       this.name = name;
       this.loop = loop;
-      long own = seed * 31 + name.hashCode();
-      this.fate = new SplittableRandom(own);
-      this.socket = new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, 0, own + 1);
+      long nodeSeed = seed * 31 + name.hashCode();
+      this.random = new SplittableRandom(nodeSeed);
+      this.socket = new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, 0, nodeSeed + 1);
     }
 
     @Override
@@ -77,37 +77,37 @@
 
     @Override
     public void send(Hop to, byte[] message) {
-      tap.recordSent(now(), name, to, message);
-      Conditions now = conditions;
-      if (to.transport() == Transport.TCP || now == Conditions.NORMAL) {
+      recorder.recordSent(now(), name, to, message);
+      Conditions current = conditions;
+      if (to.transport() == Transport.TCP || current == Conditions.NORMAL) {
         socket.send(to, message);
         return;
       }
-      int copies = fate.nextDouble() < now.lossRate() ? 0 : 1;
-      copies += fate.nextDouble() < now.duplicationRate() ? 1 : 0;
+      int copies = random.nextDouble() < current.lossRate() ? 0 : 1;
+      copies += random.nextDouble() < current.duplicationRate() ? 1 : 0;
       for (int i = 0; i < copies; i++) {
-        double way =
-            now.minDelayMillis()
-                + (now.maxDelayMillis() - now.minDelayMillis()) * fate.nextDouble();
-        loop.after(way, () -> socket.send(to, message));
+        double delay =
+            current.minDelayMillis()
+                + (current.maxDelayMillis() - current.minDelayMillis()) * random.nextDouble();
+        loop.after(delay, () -> socket.send(to, message));
       }
     }
 
     @Override
     public void start() {
-      inner.start();
+      element.start();
     }
 
     @Override
-    public void receive(Hop from, byte[] message, double arrived) {
-      tap.recordRead(now(), name, from, arrived, message);
-      inner.receive(from, message, arrived);
+    public void receive(Hop from, byte[] message, double arrivedAt) {
+      recorder.recordRead(now(), name, from, arrivedAt, message);
+      element.receive(from, message, arrivedAt);
     }
 
     @Override
     public void connectionFailed(Hop hop, Failure failure) {
-      tap.recordFailure(now(), name, hop, failure);
-      inner.connectionFailed(hop, failure);
+      recorder.recordFailure(now(), name, hop, failure);
+      element.connectionFailed(hop, failure);
     }
   }
 
@@ -119,28 +119,31 @@
   }
 
   /** A node's address may be wanted before its crew is known: controllers are crews of one. */
-  private Node node(String name, String crew) {
-    Node held = nodes.get(name);
-    if (held == null) {
-      String own = crew != null ? crew : name.startsWith("controller-") ? name : "standins";
-      EventLoop loop = loops.computeIfAbsent(own, c -> new EventLoop("crew-" + c, origin, QUEUE));
+  private Node node(String name, String thread) {
+    Node node = nodes.get(name);
+    if (node == null) {
+      String threadName =
+          thread != null ? thread : name.startsWith("controller-") ? name : "standins";
+      EventLoop loop =
+          loopsByThread.computeIfAbsent(
+              threadName, c -> new EventLoop("crew-" + c, originNanos, QUEUE_CAPACITY));
       try {
-        held = new Node(name, loop);
+        node = new Node(name, loop);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
-      nodes.put(name, held);
+      nodes.put(name, node);
     }
-    return held;
+    return node;
   }
 
   @Override
-  public <N extends SipNode> N addNode(String name, String crew, Function<SipHost, N> maker) {
-    Node node = node(name, crew);
-    N made = maker.apply(node);
-    node.inner = made;
+  public <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory) {
+    Node node = node(name, thread);
+    N element = factory.apply(node);
+    node.element = element;
     node.socket.start(node);
-    return made;
+    return element;
   }
 
   // ---- Faults -------------------------------------------------------------------------------
@@ -152,18 +155,18 @@
   }
 
   @Override
-  public void freeze(String name, double lasts) {
-    tap.recordNote(now(), name, "frozen for " + lasts);
-    nodes.get(name).loop.pause(lasts);
+  public void freeze(String name, double durationMillis) {
+    recorder.recordNote(now(), name, "frozen for " + durationMillis);
+    nodes.get(name).loop.pause(durationMillis);
   }
 
   @Override
-  public void setReachable(String name, boolean on) {
+  public void setReachable(String name, boolean reachable) {
     Node node = nodes.get(name);
     node.loop.offer(
         () -> {
           try {
-            node.socket.setReachable(on);
+            node.socket.setReachable(reachable);
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
@@ -177,17 +180,17 @@
   }
 
   @Override
-  public void setConditions(Conditions news) {
-    conditions = news;
+  public void setConditions(Conditions newConditions) {
+    conditions = newConditions;
   }
 
   // ---- Time ---------------------------------------------------------------------------------
 
   @Override
   public void runUntil(double until, BooleanSupplier done) {
-    if (!running) {
-      running = true;
-      loops.values().forEach(EventLoop::start);
+    if (!started) {
+      started = true;
+      loopsByThread.values().forEach(EventLoop::start);
     }
     try {
       while (now() < until && !done.getAsBoolean()) {
@@ -200,24 +203,24 @@
 
   @Override
   public double now() {
-    return (System.nanoTime() - origin) / 1e6;
+    return (System.nanoTime() - originNanos) / 1e6;
   }
 
   @Override
   public MessageRecorder recorder() {
-    return tap;
+    return recorder;
   }
 
   /** Tasks that the loops dropped or that threw; any is a fault of the run. */
   public long failedTasks() {
-    return loops.values().stream()
+    return loopsByThread.values().stream()
         .mapToLong(loop -> loop.droppedTasks() + loop.failedTasks())
         .sum();
   }
 
   @Override
   public void close() {
-    loops.values().forEach(EventLoop::close);
+    loopsByThread.values().forEach(EventLoop::close);
     nodes.values().forEach(node -> node.socket.close());
     sockets.close();
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
@@ -13,17 +13,17 @@
   private static final class Task implements Comparable<Task>, SipHost.Timer {
     private final double time;
     private final long order;
-    private Runnable work;
+    private Runnable action;
 
-    Task(double time, long order, Runnable work) {
+    Task(double time, long order, Runnable action) {
       this.time = time;
       this.order = order;
-      this.work = work;
+      this.action = action;
     }
 
     @Override
     public void cancel() {
-      work = null;
+      action = null;
     }
 
     @Override
@@ -37,14 +37,14 @@
     return now;
   }
 
-  SipHost.Timer at(double time, Runnable work) {
-    Task task = new Task(Math.max(now, time), sequence++, work);
+  SipHost.Timer schedule(double time, Runnable action) {
+    Task task = new Task(Math.max(now, time), sequence++, action);
     queue.add(task);
     return task;
   }
 
   /** Runs the next task if it is due by then; whether there was one. */
-  boolean step(double until) {
+  boolean runNext(double until) {
     Task task = queue.peek();
     if (task == null || task.time > until) {
       now = Math.max(now, until);
@@ -52,8 +52,8 @@
     }
     queue.poll();
     now = task.time;
-    if (task.work != null) {
-      task.work.run();
+    if (task.action != null) {
+      task.action.run();
     }
     return true;
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
@@ -15,45 +15,45 @@
 
   private final String method;
   private final int status;
-  private final String uri;
-  private final Map<String, String> first = new HashMap<>();
+  private final String requestUri;
+  private final Map<String, String> headers = new HashMap<>();
   private final String body;
 
-  private WireMessage(String method, int status, String uri, String body) {
+  private WireMessage(String method, int status, String requestUri, String body) {
     this.method = method;
     this.status = status;
-    this.uri = uri;
+    this.requestUri = requestUri;
     this.body = body;
   }
 
   /** Reads a message; null where it is none. */
-  static WireMessage read(byte[] bytes) {
+  static WireMessage parse(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.ISO_8859_1);
-    int blank = text.indexOf("\r\n\r\n");
-    String[] lines = (blank < 0 ? text : text.substring(0, blank)).split("\r\n");
-    String[] start = lines[0].split(" ", 3);
-    if (start.length < 2) {
+    int headEnd = text.indexOf("\r\n\r\n");
+    String[] lines = (headEnd < 0 ? text : text.substring(0, headEnd)).split("\r\n");
+    String[] startLine = lines[0].split(" ", 3);
+    if (startLine.length < 2) {
       return null;
     }
-    boolean response = start[0].equals("SIP/2.0");
+    boolean response = startLine[0].equals("SIP/2.0");
     WireMessage message =
         new WireMessage(
-            response ? "" : start[0],
-            response ? Integer.parseInt(start[1]) : 0,
-            response ? "" : start[1],
-            blank < 0 ? "" : text.substring(blank + 4));
+            response ? "" : startLine[0],
+            response ? Integer.parseInt(startLine[1]) : 0,
+            response ? "" : startLine[1],
+            headEnd < 0 ? "" : text.substring(headEnd + 4));
     for (int i = 1; i < lines.length; i++) {
       int colon = lines[i].indexOf(':');
       if (colon > 0) {
         String name = lines[i].substring(0, colon).trim().toLowerCase(Locale.ROOT);
         String value = lines[i].substring(colon + 1).trim();
-        message.first.merge(COMPACT.getOrDefault(name, name), value, (a, b) -> a + "," + b);
+        message.headers.merge(COMPACT.getOrDefault(name, name), value, (a, b) -> a + "," + b);
       }
     }
     return message;
   }
 
-  boolean request(String name) {
+  boolean isRequest(String name) {
     return method.equals(name);
   }
 
@@ -61,8 +61,8 @@
     return status;
   }
 
-  String uri() {
-    return uri;
+  String requestUri() {
+    return requestUri;
   }
 
   String body() {
@@ -70,7 +70,7 @@
   }
 
   String header(String name) {
-    return first.getOrDefault(name, "");
+    return headers.getOrDefault(name, "");
   }
 
   String callId() {
@@ -78,12 +78,12 @@
   }
 
   /** Method that a response answers, or of the request itself. */
-  String answers() {
+  String cseqMethod() {
     String[] parts = header("cseq").split("\\s+");
     return parts.length < 2 ? "" : parts[1];
   }
 
-  String sequence() {
+  String cseqNumber() {
     return header("cseq").split("\\s+")[0];
   }
 
@@ -101,20 +101,20 @@
   }
 
   /** Whether it came by UDP, as its topmost Via says. */
-  boolean datagram() {
+  boolean isUdp() {
     return header("via").startsWith("SIP/2.0/UDP");
   }
 
-  String session() {
+  String sessionId() {
     return header("session-id").split(";")[0];
   }
 
   private static String parameter(String value, String name) {
-    int at = value.indexOf(";" + name + "=");
-    if (at < 0) {
+    int start = value.indexOf(";" + name + "=");
+    if (start < 0) {
       return "";
     }
-    int from = at + name.length() + 2;
+    int from = start + name.length() + 2;
     int to = value.indexOf(';', from);
     return to < 0 ? value.substring(from) : value.substring(from, to);
   }
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerBed.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -17,35 +17,36 @@
 import java.util.SplittableRandom;
 
 /** One real controller between a caller and a switch that a test plays by hand. */
-final class ControllerBed {
-  static final double SYNC = 1;
-
-  final SimulatedNetwork world = new SimulatedNetwork(5);
-  final RawNode caller = world.addNode("caller", "x", RawNode::new);
-  final RawNode ownSwitch = world.addNode("switch", "x", RawNode::new);
-  final RawNode listServer = world.addNode("list", "x", RawNode::new);
-  final Hop place;
-  final SimDisk disk = new SimDisk(new SplittableRandom(3), SYNC, SYNC, () -> {});
-  SipFront front;
-  double clockStep;
+final class ControllerHarness {
+  static final double SYNC_MILLIS = 1;
+
+  final SimulatedNetwork network = new SimulatedNetwork(5);
+  final RawNode caller = network.addNode("caller", "x", RawNode::new);
+  final RawNode localSwitch = network.addNode("switch", "x", RawNode::new);
+  final RawNode listServer = network.addNode("list", "x", RawNode::new);
+  final Hop controllerAddress;
+  final SimulatedDisk disk =
+      new SimulatedDisk(new SplittableRandom(3), SYNC_MILLIS, SYNC_MILLIS, () -> {});
+  SipFront frontEnd;
+  double clockStepMillis;
   private FrontSettings settings;
-  private final FleetConfig plan = FleetConfig.eightExchanges().withSize(4, 1);
-  private final boolean keeps;
+  private final FleetConfig config = FleetConfig.eightExchanges().withSize(4, 1);
+  private final boolean persistent;
 
-  ControllerBed(Transport toSwitch) {
-    this(toSwitch, false);
+  ControllerHarness(Transport switchTransport) {
+    this(switchTransport, false);
   }
 
   /** Makes a bed whose controller keeps its calls, or does not. */
-  ControllerBed(Transport toSwitch, boolean keeps) {
-    this.keeps = keeps;
-    place = world.reserveAddress("controller");
-    world.setConditions(new Network.Conditions(1, 1, 0, 0));
+  ControllerHarness(Transport switchTransport, boolean persistent) {
+    this.persistent = persistent;
+    controllerAddress = network.reserveAddress("controller");
+    network.setConditions(new Network.Conditions(1, 1, 0, 0));
     settings =
         new FrontSettings(
             "x0.example",
-            world.reserveAddress("switch").withTransport(toSwitch),
-            world.reserveAddress("list"),
+            network.reserveAddress("switch").withTransport(switchTransport),
+            network.reserveAddress("list"),
             new ClassTable(
                 List.of("a", "b", "c"), List.of("cove.0", "cove.1", "cove.2"), List.of(), 0),
             5_000,
@@ -54,40 +55,40 @@
             1,
             Timing.STANDARD,
             SipStack.Limits.DEFAULT);
-    front = world.addNode("controller", "x", this::make);
-    run(50);
-    tellList();
+    frontEnd = network.addNode("controller", "x", this::newFrontEnd);
+    runFor(50);
+    updateDirectory();
   }
 
-  private SipFront make(SipHost host) {
-    disk.into(host);
+  private SipFront newFrontEnd(SipHost host) {
+    disk.attachTo(host);
     return new SipFront(
         host,
         settings,
-        plan.policySettings(0),
+        config.policySettings(0),
         FaultInjection.NONE.guardFactory().get(),
         CallController.Observer.NONE,
-        FaultInjection.NONE.policyFactoryFor(plan.policySettings(0), 3),
-        keeps
-            ? new SipFront.Persistence(disk, new RecoveryRate.Budget(1_000, 100), () -> clock())
+        FaultInjection.NONE.policyFactoryFor(config.policySettings(0), 3),
+        persistent
+            ? new SipFront.Persistence(disk, new RecoveryRate.Budget(1_000, 100), () -> wallClock())
             : null);
   }
 
-  private long clock() {
-    return (long) (world.now() + clockStep);
+  private long wallClock() {
+    return (long) (network.now() + clockStepMillis);
   }
 
   /** Kills the controller and starts it again from what was safe; the list comes anew. */
-  void restart(double downFor) {
-    world.kill("controller");
+  void restart(double downtimeMillis) {
+    network.kill("controller");
     disk.crash();
-    run(downFor);
-    front = world.restartNode("controller", this::make);
-    run(1);
-    tellList();
+    runFor(downtimeMillis);
+    frontEnd = network.restartNode("controller", this::newFrontEnd);
+    runFor(1);
+    updateDirectory();
   }
 
-  private void tellList() {
+  private void updateDirectory() {
     List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String domain = "x" + i + ".example";
@@ -95,18 +96,18 @@
       entries.add(
           new ExchangeDirectory.Entry("e" + i, i, domain, address, ExchangeState.IN_SERVICE, 0));
     }
-    front.controller().updateDirectory(new ExchangeDirectory.Update(true, 0, 1, entries));
+    frontEnd.controller().updateDirectory(new ExchangeDirectory.Update(true, 0, 1, entries));
     for (int i = 1; i < 4; i++) {
-      front.controller().circuitsReported(i, 20, 20, 1);
+      frontEnd.controller().circuitsReported(i, 20, 20, 1);
     }
   }
 
-  void run(double lasts) {
-    world.runUntil(world.now() + lasts, () -> false);
+  void runFor(double durationMillis) {
+    network.runUntil(network.now() + durationMillis, () -> false);
   }
 
   /** Sends the text of an INVITE from the caller by UDP; returns it. */
-  String invite(String callId, int seconds) {
+  String invite(String callId, int expiresSeconds) {
     String text =
         "INVITE sip:5551234@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP "
             + caller.host.localHop(Transport.UDP).host()
@@ -118,20 +119,20 @@
             + "\r\nCSeq: 1 INVITE\r\nContact: <sip:"
             + caller.host.localHop(Transport.UDP).host()
             + ":5060>\r\nExpires: "
-            + seconds
+            + expiresSeconds
             + "\r\nSession-ID: s"
             + callId
             + "\r\nContent-Type: application/sdp\r\nContent-Length: 2\r\n\r\nv0";
-    caller.send(place, text);
+    caller.send(controllerAddress, text);
     return text;
   }
 
   /** A request of the caller within its call, or the CANCEL of it. */
-  void fromCaller(String method, String callId, int number, String toTag) {
+  void sendFromCaller(String method, String callId, int cseqNumber, String toTag) {
     String to = "To: <sip:5551234@x1.example>" + (toTag.isEmpty() ? "" : ";tag=" + toTag);
-    String branch = method.equals("CANCEL") ? callId : callId + method + number;
+    String branch = method.equals("CANCEL") ? callId : callId + method + cseqNumber;
     caller.send(
-        place,
+        controllerAddress,
         method
             + " sip:5551234@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP "
             + caller.host.localHop(Transport.UDP).host()
@@ -142,7 +143,7 @@
             + "\r\nCall-ID: "
             + callId
             + "\r\nCSeq: "
-            + number
+            + cseqNumber
             + ' '
             + method
             + "\r\nContent-Length: 0\r\n\r\n");
@@ -152,9 +153,9 @@
   List<RawNode.Read> attempts() {
     List<String> seen = new ArrayList<>();
     List<RawNode.Read> found = new ArrayList<>();
-    for (RawNode.Read read : ownSwitch.all("INVITE")) {
-      if (!seen.contains(read.field("Call-ID"))) {
-        seen.add(read.field("Call-ID"));
+    for (RawNode.Read read : localSwitch.readsStartingWith("INVITE")) {
+      if (!seen.contains(read.header("Call-ID"))) {
+        seen.add(read.header("Call-ID"));
         found.add(read);
       }
     }
@@ -162,24 +163,24 @@
   }
 
   /** Final answers to the caller's INVITE, repeats left out. */
-  List<String> finals() {
+  List<String> finalAnswers() {
     return caller.reads.stream()
-        .filter(r -> r.begins("SIP/2.0 ") && !r.begins("SIP/2.0 1"))
-        .filter(r -> r.field("CSeq").endsWith(" INVITE"))
-        .map(r -> r.text().substring(8, 11))
+        .filter(read -> read.startsWith("SIP/2.0 ") && !read.startsWith("SIP/2.0 1"))
+        .filter(read -> read.header("CSeq").endsWith(" INVITE"))
+        .map(read -> read.text().substring(8, 11))
         .distinct()
         .toList();
   }
 
   String callerTag() {
-    return caller.last("SIP/2.0").field("To").replaceAll(".*;tag=", "");
+    return caller.lastStartingWith("SIP/2.0").header("To").replaceAll(".*;tag=", "");
   }
 
   /** Answers an attempt with 200 and lets the caller acknowledge it. */
-  void stand(RawNode.Read attempt, String callId) {
-    ownSwitch.answer(attempt, "200 OK", "far", "");
-    run(10);
-    fromCaller("ACK", callId, 1, callerTag());
-    run(10);
+  void establish(RawNode.Read attempt, String callId) {
+    localSwitch.respond(attempt, "200 OK", "far", "");
+    runFor(10);
+    sendFromCaller("ACK", callId, 1, callerTag());
+    runFor(10);
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -10,339 +10,345 @@
 
 /** Crossing, repeated, late and broken signalling around one controller. */
 class HardCasesTest {
-  private static final String FULL = "Reason: Q.850;cause=34\r\n";
-  private static final String BACK = "Reason: Q.850;cause=34;location=TN\r\n";
+  private static final String NO_CIRCUIT_REASON = "Reason: Q.850;cause=34\r\n";
+  private static final String TURNED_BACK_REASON = "Reason: Q.850;cause=34;location=TN\r\n";
 
-  private final ControllerBed bed = new ControllerBed(Transport.UDP);
+  private final ControllerHarness harness = new ControllerHarness(Transport.UDP);
 
   @Test
-  void aRepeatAfterTheCallWasReroutedIsNoSecondCall() {
-    String invite = bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "503 No", "t", FULL);
-    bed.run(20);
-    int attempts = bed.attempts().size();
+  void anInviteRetransmittedAfterReroutingMakesNoSecondCall() {
+    String invite = harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "503 No", "t", NO_CIRCUIT_REASON);
+    harness.runFor(20);
+    int attempts = harness.attempts().size();
     assertTrue(attempts >= 2, "rerouted");
-    bed.caller.send(bed.place, invite);
-    bed.run(200);
-    assertEquals(attempts, bed.attempts().size());
-    assertEquals(1, bed.front.controller().callCount());
+    harness.caller.send(harness.controllerAddress, invite);
+    harness.runFor(200);
+    assertEquals(attempts, harness.attempts().size());
+    assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aRepeatAfterTheFinalAnswerGetsTheSameAndLaterNothing() {
-    String invite = bed.invite("c1", 2);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "404 No", "t", "");
-    bed.run(20);
-    bed.fromCaller("ACK", "c1", 1, bed.callerTag());
+  void anInviteRetransmittedAfterTheFinalAnswerMakesNoSecondCall() {
+    String invite = harness.invite("c1", 2);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "404 No", "t", "");
+    harness.runFor(20);
+    harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
     for (double wait : new double[] {100, 4_000, 33_000, 300_000}) {
-      bed.run(wait);
-      bed.caller.send(bed.place, invite);
+      harness.runFor(wait);
+      harness.caller.send(harness.controllerAddress, invite);
     }
-    bed.run(1_000);
-    assertEquals(List.of("404"), bed.finals());
-    assertEquals(1, bed.attempts().size());
-    assertEquals(0, bed.front.callCount());
+    harness.runFor(1_000);
+    assertEquals(List.of("404"), harness.finalAnswers());
+    assertEquals(1, harness.attempts().size());
+    assertEquals(0, harness.frontEnd.callCount());
   }
 
   @Test
-  void aRepeatOfAnInviteThatStandsForLongIsNoSecondCall() {
-    String invite = bed.invite("c1", 4);
-    bed.run(20);
-    bed.stand(bed.attempts().get(0), "c1");
-    bed.run(40_000);
-    bed.caller.send(bed.place, invite);
-    bed.run(1_000);
-    assertEquals(1, bed.attempts().size());
-    assertEquals(List.of("200"), bed.finals());
-    assertEquals(1, bed.front.controller().callCount());
+  void anInviteRetransmittedLongAfterAnswerMakesNoSecondCall() {
+    String invite = harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.establish(harness.attempts().get(0), "c1");
+    harness.runFor(40_000);
+    harness.caller.send(harness.controllerAddress, invite);
+    harness.runFor(1_000);
+    assertEquals(1, harness.attempts().size());
+    assertEquals(List.of("200"), harness.finalAnswers());
+    assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aResetBetweenSendAndFirstAnswerKeepsTheGuard() {
-    ControllerBed tcp = new ControllerBed(Transport.TCP);
+  void aRetryAfterAResetWaitsForTheGuardTime() {
+    ControllerHarness tcp = new ControllerHarness(Transport.TCP);
     tcp.invite("c1", 4);
-    tcp.run(20);
-    double reset = tcp.world.now();
-    tcp.world.resetConnections("switch");
-    tcp.run(900);
+    tcp.runFor(20);
+    double reset = tcp.network.now();
+    tcp.network.resetConnections("switch");
+    tcp.runFor(900);
     assertEquals(2, tcp.attempts().size());
-    double gap = tcp.attempts().get(1).at() - reset;
+    double gap = tcp.attempts().get(1).receivedAt() - reset;
     assertTrue(gap >= FleetConfig.GUARD_TIME_MILLIS, "sent again after " + gap);
   }
 
   @Test
-  void aLateAnswerOfAResetAttemptIsReleased() {
-    ControllerBed tcp = new ControllerBed(Transport.TCP);
+  void aLate200ToAResetAttemptIsReleased() {
+    ControllerHarness tcp = new ControllerHarness(Transport.TCP);
     tcp.invite("c1", 4);
-    tcp.run(20);
+    tcp.runFor(20);
     RawNode.Read attempt = tcp.attempts().get(0);
-    tcp.world.resetConnections("switch");
-    tcp.run(20);
-    RawNode.Read anew = new RawNode.Read(0, tcp.place.withTransport(Transport.TCP), attempt.text());
-    tcp.ownSwitch.answer(anew, "200 OK", "far", "");
-    tcp.run(50);
-    assertEquals(1, tcp.ownSwitch.all("BYE").size());
-    tcp.ownSwitch.answer(tcp.ownSwitch.last("BYE"), "200 OK", "", "");
-    tcp.run(50);
-    assertEquals(1, tcp.ownSwitch.all("ACK").size());
-    assertEquals(List.of(), tcp.finals());
+    tcp.network.resetConnections("switch");
+    tcp.runFor(20);
+    RawNode.Read received =
+        new RawNode.Read(0, tcp.controllerAddress.withTransport(Transport.TCP), attempt.text());
+    tcp.localSwitch.respond(received, "200 OK", "far", "");
+    tcp.runFor(50);
+    assertEquals(1, tcp.localSwitch.readsStartingWith("BYE").size());
+    tcp.localSwitch.respond(tcp.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
+    tcp.runFor(50);
+    assertEquals(1, tcp.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(List.of(), tcp.finalAnswers());
   }
 
   @Test
-  void aResetOfTheOwnSwitchLeavesStandingCallsAlone() {
-    ControllerBed tcp = new ControllerBed(Transport.TCP);
+  void aConnectionResetKeepsEstablishedCalls() {
+    ControllerHarness tcp = new ControllerHarness(Transport.TCP);
     tcp.invite("c1", 4);
-    tcp.run(20);
-    tcp.stand(tcp.attempts().get(0), "c1");
-    tcp.world.resetConnections("switch");
-    tcp.run(500);
-    assertEquals(1, tcp.front.controller().callCount());
-    tcp.fromCaller("BYE", "c1", 2, tcp.callerTag());
-    tcp.run(50);
-    assertEquals(1, tcp.ownSwitch.all("BYE").size());
-    assertEquals(0, tcp.front.controller().callCount());
+    tcp.runFor(20);
+    tcp.establish(tcp.attempts().get(0), "c1");
+    tcp.network.resetConnections("switch");
+    tcp.runFor(500);
+    assertEquals(1, tcp.frontEnd.controller().callCount());
+    tcp.sendFromCaller("BYE", "c1", 2, tcp.callerTag());
+    tcp.runFor(50);
+    assertEquals(1, tcp.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(0, tcp.frontEnd.controller().callCount());
   }
 
   @Test
-  void a200ThatCrossesOurCancelIsReleased() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.ownSwitch.answer(attempt, "100 Trying", "", "");
-    bed.run(5);
-    bed.fromCaller("CANCEL", "c1", 1, "");
-    bed.run(5);
-    assertEquals(1, bed.ownSwitch.all("CANCEL").size());
-    bed.ownSwitch.answer(attempt, "200 OK", "far", "");
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
-    bed.ownSwitch.answer(bed.ownSwitch.last("BYE"), "200 OK", "", "");
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("ACK").size());
-    assertEquals(List.of("487"), bed.finals());
-    assertEquals(0, bed.front.controller().callCount());
+  void a200ThatCrossesTheCancelIsReleased() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.localSwitch.respond(attempt, "100 Trying", "", "");
+    harness.runFor(5);
+    harness.sendFromCaller("CANCEL", "c1", 1, "");
+    harness.runFor(5);
+    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
+    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    harness.localSwitch.respond(harness.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(List.of("487"), harness.finalAnswers());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void a200OfAnAttemptGivenUpIsReleasedAndTheCallerHasItsAnswer() {
-    bed.invite("c1", 2);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.ownSwitch.answer(attempt, "100 Trying", "", "");
-    bed.run(2_100);
-    assertEquals(1, bed.finals().size());
-    assertTrue(bed.ownSwitch.all("CANCEL").size() >= 1);
-    bed.ownSwitch.answer(attempt, "200 OK", "far", "");
-    bed.run(100);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
-    assertEquals(1, bed.finals().size());
-    assertEquals(0, bed.front.controller().callCount());
+  void a200AfterPatienceEndedIsReleasedWithoutASecondFinalAnswer() {
+    harness.invite("c1", 2);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.localSwitch.respond(attempt, "100 Trying", "", "");
+    harness.runFor(2_100);
+    assertEquals(1, harness.finalAnswers().size());
+    assertTrue(harness.localSwitch.readsStartingWith("CANCEL").size() >= 1);
+    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    harness.runFor(100);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.finalAnswers().size());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aSecondAnswerByAForkIsReleased() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.stand(attempt, "c1");
-    bed.ownSwitch.answer(attempt, "200 OK", "other", "");
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
-    assertTrue(bed.ownSwitch.last("BYE").field("To").endsWith("tag=other"));
-    assertEquals(1, bed.front.controller().callCount());
+  void aSecond200FromAForkIsReleased() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.establish(attempt, "c1");
+    harness.localSwitch.respond(attempt, "200 OK", "other", "");
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertTrue(harness.localSwitch.lastStartingWith("BYE").header("To").endsWith("tag=other"));
+    assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aCancelBeforeAny100IsAnsweredAndTheAttemptCalledOffLater() {
-    bed.invite("c1", 4);
-    bed.fromCaller("CANCEL", "c1", 1, "");
-    bed.run(20);
-    assertEquals(List.of("487"), bed.finals());
-    assertEquals(0, bed.ownSwitch.all("CANCEL").size());
-    bed.ownSwitch.answer(bed.attempts().get(0), "180 Ringing", "t", "");
-    bed.run(20);
-    assertEquals(1, bed.ownSwitch.all("CANCEL").size());
+  void aCancelBeforeAnyResponseIsAnsweredAndForwardedLater() {
+    harness.invite("c1", 4);
+    harness.sendFromCaller("CANCEL", "c1", 1, "");
+    harness.runFor(20);
+    assertEquals(List.of("487"), harness.finalAnswers());
+    assertEquals(0, harness.localSwitch.readsStartingWith("CANCEL").size());
+    harness.localSwitch.respond(harness.attempts().get(0), "180 Ringing", "t", "");
+    harness.runFor(20);
+    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
   }
 
   @Test
   void aByeOnAnEarlyDialogEndsTheCall() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "180 Ringing", "t", "");
-    bed.run(20);
-    bed.fromCaller("BYE", "c1", 2, bed.callerTag());
-    bed.run(20);
-    assertEquals(List.of("487"), bed.finals());
-    assertEquals(1, bed.ownSwitch.all("CANCEL").size());
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "180 Ringing", "t", "");
+    harness.runFor(20);
+    harness.sendFromCaller("BYE", "c1", 2, harness.callerTag());
+    harness.runFor(20);
+    assertEquals(List.of("487"), harness.finalAnswers());
+    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
   }
 
   @Test
-  void aReinviteWhileTheCallIsBeingSetUpIsPutOff() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "180 Ringing", "t", "");
-    bed.run(20);
-    bed.fromCaller("INVITE", "c1", 2, bed.callerTag());
-    bed.run(20);
-    assertEquals("1", bed.caller.last("SIP/2.0 500").field("Retry-After"));
-    assertEquals(1, bed.attempts().size());
+  void aReinviteDuringSetUpIsRejectedWithRetryAfter() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "180 Ringing", "t", "");
+    harness.runFor(20);
+    harness.sendFromCaller("INVITE", "c1", 2, harness.callerTag());
+    harness.runFor(20);
+    assertEquals("1", harness.caller.lastStartingWith("SIP/2.0 500").header("Retry-After"));
+    assertEquals(1, harness.attempts().size());
   }
 
   @Test
-  void aReinviteOfAStandingCallGoesThroughAndBack() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.stand(bed.attempts().get(0), "c1");
-    String tag = bed.callerTag();
-    bed.fromCaller("INVITE", "c1", 2, tag);
-    bed.run(20);
-    RawNode.Read again = bed.ownSwitch.last("INVITE");
-    assertTrue(again.field("To").endsWith("tag=far"));
-    bed.ownSwitch.answer(again, "200 OK", "", "");
-    bed.run(20);
-    assertEquals("2 INVITE", bed.caller.last("SIP/2.0 200").field("CSeq"));
-    bed.fromCaller("ACK", "c1", 2, tag);
-    bed.run(20);
-    assertEquals(2, bed.ownSwitch.all("ACK").size());
-    bed.fromCaller("INFO", "c1", 3, tag);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.ownSwitch.last("INFO"), "200 OK", "", "");
-    bed.run(20);
-    assertEquals("3 INFO", bed.caller.last("SIP/2.0 200").field("CSeq"));
+  void aReinviteOfAnEstablishedCallIsForwardedBothWays() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.establish(harness.attempts().get(0), "c1");
+    String tag = harness.callerTag();
+    harness.sendFromCaller("INVITE", "c1", 2, tag);
+    harness.runFor(20);
+    RawNode.Read reinvite = harness.localSwitch.lastStartingWith("INVITE");
+    assertTrue(reinvite.header("To").endsWith("tag=far"));
+    harness.localSwitch.respond(reinvite, "200 OK", "", "");
+    harness.runFor(20);
+    assertEquals("2 INVITE", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
+    harness.sendFromCaller("ACK", "c1", 2, tag);
+    harness.runFor(20);
+    assertEquals(2, harness.localSwitch.readsStartingWith("ACK").size());
+    harness.sendFromCaller("INFO", "c1", 3, tag);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.localSwitch.lastStartingWith("INFO"), "200 OK", "", "");
+    harness.runFor(20);
+    assertEquals("3 INFO", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
   }
 
   @Test
-  void aReliableProvisionalAnswerAndItsPrackPass() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.ownSwitch.answer(attempt, "183 Progress", "far", "Require: 100rel\r\nRSeq: 777\r\n");
-    bed.run(20);
-    assertEquals("1", bed.caller.last("SIP/2.0 183").field("RSeq"));
-    bed.caller.send(
-        bed.place,
+  void aReliableProvisionalResponseAndItsPrackAreForwarded() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.localSwitch.respond(attempt, "183 Progress", "far", "Require: 100rel\r\nRSeq: 777\r\n");
+    harness.runFor(20);
+    assertEquals("1", harness.caller.lastStartingWith("SIP/2.0 183").header("RSeq"));
+    harness.caller.send(
+        harness.controllerAddress,
         "PRACK sip:x SIP/2.0\r\nVia: SIP/2.0/UDP "
-            + bed.caller.host.localHop(Transport.UDP).host()
+            + harness.caller.host.localHop(Transport.UDP).host()
             + ":5060;branch=z9hG4bKp\r\nFrom: <sip:m@h>;tag=m\r\nTo: <sip:5551234@x1.example>;tag="
-            + bed.callerTag()
+            + harness.callerTag()
             + "\r\nCall-ID: c1\r\nCSeq: 2 PRACK\r\nRAck: 1 1 INVITE\r\n\r\n");
-    bed.run(20);
-    RawNode.Read prack = bed.ownSwitch.last("PRACK");
-    assertEquals("777 1 INVITE", prack.field("RAck"));
-    bed.ownSwitch.answer(prack, "200 OK", "", "");
-    bed.run(20);
-    assertEquals("2 PRACK", bed.caller.last("SIP/2.0 200").field("CSeq"));
+    harness.runFor(20);
+    RawNode.Read prack = harness.localSwitch.lastStartingWith("PRACK");
+    assertEquals("777 1 INVITE", prack.header("RAck"));
+    harness.localSwitch.respond(prack, "200 OK", "", "");
+    harness.runFor(20);
+    assertEquals("2 PRACK", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
   }
 
   @Test
-  void aPeerThatNeverAnswersTheCancelHoldsUpNothing() {
-    bed.invite("c1", 2);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "100 Trying", "", "");
-    bed.run(2_100);
-    assertEquals(1, bed.finals().size());
-    assertEquals(1, bed.attempts().size());
-    bed.run(31_000);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.run(3_000);
-    assertEquals(0, bed.front.controller().callCount());
-    assertEquals(1, bed.attempts().size());
+  void aCallIsRemovedThoughTheCancelIsNeverAnswered() {
+    harness.invite("c1", 2);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "100 Trying", "", "");
+    harness.runFor(2_100);
+    assertEquals(1, harness.finalAnswers().size());
+    assertEquals(1, harness.attempts().size());
+    harness.runFor(31_000);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.runFor(3_000);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertEquals(1, harness.attempts().size());
   }
 
   @Test
-  void nonsenseAndAnswersOfOthersChangeNothing() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    Hop to = bed.place;
-    bed.ownSwitch.send(to, "\u0000\u0001\u0002");
-    bed.ownSwitch.send(to, "SIP/2.0 200 OK\r\n\r\n");
+  void malformedMessagesAndForeignResponsesAreIgnored() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    Hop address = harness.controllerAddress;
+    harness.localSwitch.send(address, "\u0000\u0001\u0002");
+    harness.localSwitch.send(address, "SIP/2.0 200 OK\r\n\r\n");
     String ok = attempt.text().replaceFirst("INVITE [^\r]*", "SIP/2.0 200 OK");
-    bed.ownSwitch.send(to, ok.replaceFirst("Call-ID: ", "Call-ID: x"));
-    bed.ownSwitch.send(to, ok.replaceFirst("branch=z9hG4bK", "branch=z9hG4bKx"));
-    bed.ownSwitch.send(to, ok.replaceFirst("UDP [0-9.]*", "UDP 192.0.2.1"));
-    bed.run(50);
-    assertEquals(List.of(), bed.finals());
-    bed.stand(attempt, "c1");
-    assertEquals(List.of("200"), bed.finals());
+    harness.localSwitch.send(address, ok.replaceFirst("Call-ID: ", "Call-ID: x"));
+    harness.localSwitch.send(address, ok.replaceFirst("branch=z9hG4bK", "branch=z9hG4bKx"));
+    harness.localSwitch.send(address, ok.replaceFirst("UDP [0-9.]*", "UDP 192.0.2.1"));
+    harness.runFor(50);
+    assertEquals(List.of(), harness.finalAnswers());
+    harness.establish(attempt, "c1");
+    assertEquals(List.of("200"), harness.finalAnswers());
   }
 
   @Test
-  void patienceThatEndsWithTheAnswerGivesOneOutcome() {
+  void patienceThatEndsAroundTheAnswerGivesOneFinalAnswer() {
     for (double before = 0; before <= 40; before += 0.5) {
-      ControllerBed one = new ControllerBed(Transport.UDP);
-      one.invite("c1", 2);
-      one.run(20);
-      RawNode.Read attempt = one.attempts().get(0);
-      one.ownSwitch.answer(attempt, "100 Trying", "", "");
-      one.run(1 + 2_000 - 20 - before);
-      one.ownSwitch.answer(attempt, "200 OK", "far", "");
-      one.run(100);
-      assertEquals(1, one.finals().size(), "answer " + before + " ms before the end");
+      ControllerHarness single = new ControllerHarness(Transport.UDP);
+      single.invite("c1", 2);
+      single.runFor(20);
+      RawNode.Read attempt = single.attempts().get(0);
+      single.localSwitch.respond(attempt, "100 Trying", "", "");
+      single.runFor(1 + 2_000 - 20 - before);
+      single.localSwitch.respond(attempt, "200 OK", "far", "");
+      single.runFor(100);
+      assertEquals(1, single.finalAnswers().size(), "answer " + before + " ms before the end");
     }
   }
 
   @Test
-  void aCalleesOwnAnswerPassesAsItIs() {
-    bed.invite("c1", 4);
-    bed.run(20);
+  void aFinalResponseOfTheCalleeIsForwarded() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
     String challenge = "Proxy-Authenticate: Digest realm=\"x\", nonce=\"n\"\r\n";
-    bed.ownSwitch.answer(bed.attempts().get(0), "407 Proxy Auth", "t", challenge);
-    bed.run(20);
-    RawNode.Read answer = bed.caller.last("SIP/2.0 407");
-    assertEquals("Digest realm=\"x\", nonce=\"n\"", answer.field("Proxy-Authenticate"));
-    assertEquals(1, bed.attempts().size());
+    harness.localSwitch.respond(harness.attempts().get(0), "407 Proxy Auth", "t", challenge);
+    harness.runFor(20);
+    RawNode.Read answer = harness.caller.lastStartingWith("SIP/2.0 407");
+    assertEquals("Digest realm=\"x\", nonce=\"n\"", answer.header("Proxy-Authenticate"));
+    assertEquals(1, harness.attempts().size());
   }
 
   @Test
-  void aCallTurnedBackByATandemTriesNoMoreThanTheModuleSays() {
-    bed.front.controller().circuitsReported(1, 0, 20, 2);
-    bed.invite("c1", 4);
+  void aCallTurnedBackByATandemMakesAtMostTwoAttempts() {
+    harness.frontEnd.controller().circuitsReported(1, 0, 20, 2);
+    harness.invite("c1", 4);
     for (int i = 0; i < 8; i++) {
-      bed.run(20);
-      for (RawNode.Read attempt : bed.attempts()) {
-        bed.ownSwitch.answer(attempt, "503 Back", "t", BACK);
+      harness.runFor(20);
+      for (RawNode.Read attempt : harness.attempts()) {
+        harness.localSwitch.respond(attempt, "503 Back", "t", TURNED_BACK_REASON);
       }
     }
-    bed.run(4_000);
-    assertTrue(bed.attempts().size() <= 2, "attempts " + bed.attempts().size());
-    assertEquals(List.of("503"), bed.finals());
+    harness.runFor(4_000);
+    assertTrue(harness.attempts().size() <= 2, "attempts " + harness.attempts().size());
+    assertEquals(List.of("503"), harness.finalAnswers());
   }
 
   @Test
-  void aFrozenControllerDoesNotTakeCallsWhoseTimeIsUp() {
-    bed.world.freeze("controller", 2_500);
-    bed.invite("c1", 2);
-    bed.run(3_000);
-    assertEquals(0, bed.attempts().size());
-    assertEquals(1, bed.finals().size());
+  void aFrozenControllerMakesNoAttemptForExpiredCalls() {
+    harness.network.freeze("controller", 2_500);
+    harness.invite("c1", 2);
+    harness.runFor(3_000);
+    assertEquals(0, harness.attempts().size());
+    assertEquals(1, harness.finalAnswers().size());
   }
 
   @Test
-  void tooManyCallsAreToldWhenToComeBack() {
+  void callsAboveTheMaximumGetRetryAfter() {
     for (int i = 0; i < 51; i++) {
-      bed.invite("c" + i, 4);
+      harness.invite("c" + i, 4);
     }
-    bed.run(10);
-    assertEquals("1", bed.caller.last("SIP/2.0 503").field("Retry-After"));
-    assertEquals(50, bed.front.callCount());
+    harness.runFor(10);
+    assertEquals("1", harness.caller.lastStartingWith("SIP/2.0 503").header("Retry-After"));
+    assertEquals(50, harness.frontEnd.callCount());
   }
 
   @Test
-  void aSessionThatNobodyRefreshesIsReleasedOnBothSides() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(
-        bed.attempts().get(0), "200 OK", "far", "Session-Expires: 90;refresher=uas\r\n");
-    bed.run(10);
-    bed.fromCaller("ACK", "c1", 1, bed.callerTag());
-    bed.run(89_000);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.run(2_000);
-    assertEquals(0, bed.front.controller().callCount());
-    assertEquals(1, bed.ownSwitch.all("BYE").stream().map(r -> r.field("CSeq")).distinct().count());
-    assertTrue(bed.caller.all("BYE").size() >= 1);
+  void anUnrefreshedSessionIsReleasedOnBothSides() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(
+        harness.attempts().get(0), "200 OK", "far", "Session-Expires: 90;refresher=uas\r\n");
+    harness.runFor(10);
+    harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
+    harness.runFor(89_000);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.runFor(2_000);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertEquals(
+        1,
+        harness.localSwitch.readsStartingWith("BYE").stream()
+            .map(r -> r.header("CSeq"))
+            .distinct()
+            .count());
+    assertTrue(harness.caller.readsStartingWith("BYE").size() >= 1);
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -23,13 +23,13 @@
   private static final long SEED = 11;
 
   @Test
-  void theSameDayUnbrokenIsGreen() {
+  void noBreachWithoutAMutation() {
     assertEquals(0, play(FaultInjection.NONE).breachCount());
   }
 
   @Test
-  void aSecondAttemptIsSeen() {
-    RuleReport verdict =
+  void aSecondOutstandingAttemptIsDetected() {
+    RuleReport report =
         play(
             onSend(
                 (text, resend) -> {
@@ -37,12 +37,12 @@
                     resend.accept(text.replaceFirst("Call-ID: ", "Call-ID: second-"));
                   }
                 }));
-    assertTrue(verdict.breachCount(Rule.ONE_ATTEMPT) > 0);
+    assertTrue(report.breachCount(Rule.ONE_ATTEMPT) > 0);
   }
 
   @Test
-  void aSecondAnswerIsSeen() {
-    RuleReport verdict =
+  void aSecondFinalAnswerIsDetected() {
+    RuleReport report =
         play(
             onSend(
                 (text, resend) -> {
@@ -50,14 +50,14 @@
                     resend.accept(text.replaceFirst("503 Service Unavailable", "480 Gone"));
                   }
                 }));
-    assertTrue(verdict.breachCount(Rule.ONE_OUTCOME) > 0);
+    assertTrue(report.breachCount(Rule.ONE_OUTCOME) > 0);
   }
 
   @Test
-  void aLostCallIsSeen() {
-    UnaryOperator<SipHost> deaf =
+  void anUnansweredCallIsDetected() {
+    UnaryOperator<SipHost> withoutFinalErrors =
         host ->
-            new Wrapped(host) {
+            new ForwardingHost(host) {
               @Override
               public void send(Hop to, byte[] message) {
                 String text = text(message);
@@ -66,27 +66,29 @@
                 }
               }
             };
-    RuleReport verdict = play(tampered(deaf));
-    assertTrue(verdict.breachCount(Rule.ONE_OUTCOME) > 0);
+    RuleReport report = play(withHostWrapper(withoutFinalErrors));
+    assertTrue(report.breachCount(Rule.ONE_OUTCOME) > 0);
   }
 
   @Test
-  void anEarlyResendIsSeen() {
-    FaultInjection tampering =
-        new FaultInjection(UnaryOperator.identity(), Hasty::new, () -> new AttemptGuard(0, 250));
-    assertTrue(play(tampering).breachCount(Rule.RELEASE_AWAITED) > 0);
+  void aRetryWithinTheGuardTimeIsDetected() {
+    FaultInjection faults =
+        new FaultInjection(
+            UnaryOperator.identity(), ImmediateRetryPolicy::new, () -> new AttemptGuard(0, 250));
+    assertTrue(play(faults).breachCount(Rule.RELEASE_AWAITED) > 0);
   }
 
   @Test
-  void aSendToADrainedExchangeIsSeen() {
-    FaultInjection tampering =
-        new FaultInjection(UnaryOperator.identity(), Blind::new, () -> new AttemptGuard(300, 1e9));
-    assertTrue(play(tampering).breachCount(Rule.DRAINS_KEPT) > 0);
+  void aSetUpToADrainingExchangeIsDetected() {
+    FaultInjection faults =
+        new FaultInjection(
+            UnaryOperator.identity(), DrainIgnoringPolicy::new, () -> new AttemptGuard(300, 1e9));
+    assertTrue(play(faults).breachCount(Rule.DRAINS_KEPT) > 0);
   }
 
   @Test
-  void aColdProcessorPushedOverIsSeen() {
-    RuleReport verdict =
+  void anOverloadedColdProcessorIsDetected() {
+    RuleReport report =
         play(
             onSend(
                 (text, resend) -> {
@@ -94,33 +96,34 @@
                     resend.accept(text);
                   }
                 }));
-    assertTrue(verdict.breachCount(Rule.COLD_SPARED) > 0);
+    assertTrue(report.breachCount(Rule.COLD_SPARED) > 0);
   }
 
-  private static RuleReport play(FaultInjection tampering) {
-    try (Network world = new SimulatedNetwork(SEED)) {
-      return Rehearsal.play(world, day(), SEED, tampering).ruleReport();
+  private static RuleReport play(FaultInjection faults) {
+    try (Network network = new SimulatedNetwork(SEED)) {
+      return Rehearsal.play(network, scenario(), SEED, faults).ruleReport();
     }
   }
 
   /** A short day with a drain, a cold start, resets and a surge. */
-  private static Scenario day() {
-    FleetConfig plan = FleetConfig.eightExchanges().withSize(4, 6);
+  private static Scenario scenario() {
+    FleetConfig config = FleetConfig.eightExchanges().withSize(4, 6);
     return new Scenario(
         "mutations",
         "four exchanges, 9 s",
-        plan,
+        config,
         9_000,
         seed ->
-            new LoadGenerator(plan, seed)
+            new LoadGenerator(config, seed)
                 .addSurge(new LoadGenerator.Surge(2_000, 8_000, 2.5, -1, null)),
-        (world, fleet) -> {
-          world.schedule(1_000, "list", () -> fleet.drain(3));
-          world.schedule(5_500, "list", () -> fleet.stop(3));
-          world.schedule(5_900, "list", () -> fleet.startCold(3));
-          world.schedule(3_000, "list", () -> fleet.switchOf(0).processor().setSlowdown(4));
+        (network, fleet) -> {
+          network.schedule(1_000, "list", () -> fleet.drain(3));
+          network.schedule(5_500, "list", () -> fleet.stop(3));
+          network.schedule(5_900, "list", () -> fleet.startCold(3));
+          network.schedule(3_000, "list", () -> fleet.switchOf(0).processor().setSlowdown(4));
           for (int i = 0; i < 8; i++) {
-            world.schedule(3_500 + 200 * i, "list", () -> world.resetConnections("controller-0"));
+            network.schedule(
+                3_500 + 200 * i, "list", () -> network.resetConnections("controller-0"));
           }
         });
   }
@@ -133,21 +136,21 @@
     return new String(message, StandardCharsets.ISO_8859_1);
   }
 
-  private static FaultInjection tampered(UnaryOperator<SipHost> host) {
+  private static FaultInjection withHostWrapper(UnaryOperator<SipHost> host) {
     return new FaultInjection(
         host, FaultInjection.NONE.policyFactory(), FaultInjection.NONE.guardFactory());
   }
 
   /** Sees each message and may send more of its own. */
   private static FaultInjection onSend(
-      BiConsumer<String, java.util.function.Consumer<String>> more) {
-    return tampered(
+      BiConsumer<String, java.util.function.Consumer<String>> onMessage) {
+    return withHostWrapper(
         host ->
-            new Wrapped(host) {
+            new ForwardingHost(host) {
               @Override
               public void send(Hop to, byte[] message) {
                 super.send(to, message);
-                more.accept(
+                onMessage.accept(
                     text(message),
                     extra -> super.send(to, extra.getBytes(StandardCharsets.ISO_8859_1)));
               }
@@ -155,10 +158,10 @@
   }
 
   /** A world that passes everything on. */
-  private static class Wrapped implements SipHost {
+  private static class ForwardingHost implements SipHost {
     private final SipHost host;
 
-    Wrapped(SipHost host) {
+    ForwardingHost(SipHost host) {
       this.host = host;
     }
 
@@ -189,64 +192,64 @@
   }
 
   /** A policy that passes everything on to the sound one. */
-  private static class Passing implements CallPolicy {
-    final CallPolicy inner;
+  private static class ForwardingPolicy implements CallPolicy {
+    final CallPolicy delegate;
     final Actions actions;
 
-    Passing(Settings settings, long seed, Actions actions) {
-      this.inner = new NestedThresholdPolicy(settings, seed, actions);
+    ForwardingPolicy(Settings settings, long seed, Actions actions) {
+      this.delegate = new NestedThresholdPolicy(settings, seed, actions);
       this.actions = actions;
     }
 
     @Override
     public void onStart(double now) {
-      inner.onStart(now);
+      delegate.onStart(now);
     }
 
     @Override
-    public void onDirectoryUpdate(double now, DirectoryUpdate news) {
-      inner.onDirectoryUpdate(now, news);
+    public void onDirectoryUpdate(double now, DirectoryUpdate update) {
+      delegate.onDirectoryUpdate(now, update);
     }
 
     @Override
     public void onCall(double now, Call call) {
-      inner.onCall(now, call);
+      delegate.onCall(now, call);
     }
 
     @Override
-    public void onEstablished(double now, Established stands) {
-      inner.onEstablished(now, stands);
+    public void onEstablished(double now, Established established) {
+      delegate.onEstablished(now, established);
     }
 
     @Override
     public void onAttemptEnded(double now, AttemptEnded ended) {
-      inner.onAttemptEnded(now, ended);
+      delegate.onAttemptEnded(now, ended);
     }
 
     @Override
     public void onCallerAbandoned(double now, String call) {
-      inner.onCallerAbandoned(now, call);
+      delegate.onCallerAbandoned(now, call);
     }
 
     @Override
     public void onLoadReport(double now, LoadReport report) {
-      inner.onLoadReport(now, report);
+      delegate.onLoadReport(now, report);
     }
 
     @Override
     public void onTimer(double now, long label) {
-      inner.onTimer(now, label);
+      delegate.onTimer(now, label);
     }
 
     @Override
     public void onPeerMessage(double now, int from, byte[] payload) {
-      inner.onPeerMessage(now, from, payload);
+      delegate.onPeerMessage(now, from, payload);
     }
   }
 
   /** Sends again the moment that an attempt was reset. */
-  private static final class Hasty extends Passing {
-    Hasty(Settings settings, long seed, Actions actions) {
+  private static final class ImmediateRetryPolicy extends ForwardingPolicy {
+    ImmediateRetryPolicy(Settings settings, long seed, Actions actions) {
       super(settings, seed, actions);
     }
 
@@ -255,26 +258,27 @@
       if (ended.outcome() == Outcome.RESET && !ended.callFinished()) {
         actions.send(ended.call(), ended.exchange(), 800);
       } else {
-        inner.onAttemptEnded(now, ended);
+        delegate.onAttemptEnded(now, ended);
       }
     }
   }
 
   /** Takes drains for service. */
-  private static final class Blind extends Passing {
-    Blind(Settings settings, long seed, Actions actions) {
+  private static final class DrainIgnoringPolicy extends ForwardingPolicy {
+    DrainIgnoringPolicy(Settings settings, long seed, Actions actions) {
       super(settings, seed, actions);
     }
 
     @Override
-    public void onDirectoryUpdate(double now, DirectoryUpdate news) {
-      List<Exchange> seen = new ArrayList<>();
-      for (Exchange entry : news.entries()) {
+    public void onDirectoryUpdate(double now, DirectoryUpdate update) {
+      List<Exchange> altered = new ArrayList<>();
+      for (Exchange entry : update.entries()) {
         ExchangeState state =
             entry.state() == ExchangeState.DRAINING ? ExchangeState.IN_SERVICE : entry.state();
-        seen.add(new Exchange(entry.id(), entry.number(), state, entry.startedAt()));
+        altered.add(new Exchange(entry.id(), entry.number(), state, entry.startedAt()));
       }
-      inner.onDirectoryUpdate(now, new DirectoryUpdate(news.failed(), news.complete(), seen));
+      delegate.onDirectoryUpdate(
+          now, new DirectoryUpdate(update.failed(), update.complete(), altered));
     }
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
@@ -19,14 +19,14 @@
     this.host = host;
   }
 
-  record Read(double at, Hop from, String text) {
-    String field(String name) {
-      int at = text.indexOf("\r\n" + name + ": ") + name.length() + 4;
-      return text.substring(at, text.indexOf("\r\n", at));
+  record Read(double receivedAt, Hop from, String text) {
+    String header(String name) {
+      int start = text.indexOf("\r\n" + name + ": ") + name.length() + 4;
+      return text.substring(start, text.indexOf("\r\n", start));
     }
 
-    boolean begins(String word) {
-      return text.startsWith(word);
+    boolean startsWith(String prefix) {
+      return text.startsWith(prefix);
     }
   }
 
@@ -43,12 +43,12 @@
     failures.add(failure);
   }
 
-  List<Read> all(String begins) {
-    return reads.stream().filter(read -> read.begins(begins)).toList();
+  List<Read> readsStartingWith(String prefix) {
+    return reads.stream().filter(read -> read.startsWith(prefix)).toList();
   }
 
-  Read last(String begins) {
-    List<Read> found = all(begins);
+  Read lastStartingWith(String prefix) {
+    List<Read> found = readsStartingWith(prefix);
     return found.get(found.size() - 1);
   }
 
@@ -57,19 +57,23 @@
   }
 
   /** Answers a request as it was read; more is put behind the usual fields. */
-  void answer(Read request, String status, String tag, String more) {
-    String to = request.field("To");
-    StringBuilder out = new StringBuilder("SIP/2.0 ").append(status).append("\r\n");
+  void respond(Read request, String status, String tag, String extraHeaders) {
+    String to = request.header("To");
+    StringBuilder response = new StringBuilder("SIP/2.0 ").append(status).append("\r\n");
     for (String line : request.text().split("\r\n")) {
       if (line.startsWith("Via: ")) {
-        out.append(line).append("\r\n");
+        response.append(line).append("\r\n");
       }
     }
-    out.append("From: ").append(request.field("From")).append("\r\nTo: ").append(to);
-    out.append(tag.isEmpty() ? "" : ";tag=" + tag).append("\r\nCall-ID: ");
-    out.append(request.field("Call-ID")).append("\r\nCSeq: ").append(request.field("CSeq"));
-    Hop own = host.localHop(Transport.UDP);
-    out.append("\r\nContact: <sip:").append(own.host()).append(":5060>\r\n").append(more);
-    send(request.from(), out.append("\r\n").toString());
+    response.append("From: ").append(request.header("From")).append("\r\nTo: ").append(to);
+    response.append(tag.isEmpty() ? "" : ";tag=" + tag).append("\r\nCall-ID: ");
+    response.append(request.header("Call-ID")).append("\r\nCSeq: ").append(request.header("CSeq"));
+    Hop contact = host.localHop(Transport.UDP);
+    response
+        .append("\r\nContact: <sip:")
+        .append(contact.host())
+        .append(":5060>\r\n")
+        .append(extraHeaders);
+    send(request.from(), response.append("\r\n").toString());
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -20,7 +20,7 @@
 /** Controllers that are killed in virtual time; all boundaries and thousands of seeds: the kit. */
 class RestartSweepTest {
   private static final int THREADS = Runtime.getRuntime().availableProcessors();
-  private static final RecoveryRate.Budget BUDGET = new RecoveryRate.Budget(200, 300);
+  private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
 
   @Test
   void fiftySeedsWithKillsAndFailingDisksKeepAllRules() throws InterruptedException {
@@ -41,7 +41,7 @@
       longs = {
         10, 12, 16, 31, 41, 106, 189, 221, 461, 571, 838, 1568, 2795, 3791, 7009, 7552, 8368
       })
-  void seedsThatFailedOnce(long seed) {
+  void seedsThatFailedBefore(long seed) {
     Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.restarts(seed), seed, -1);
     assertTrue(result.isClean(), result.ruleReport() + " circuits held " + result.busyCircuits());
   }
@@ -55,22 +55,22 @@
   }
 
   @Test
-  void everyCallThatStoodAtAKillStandsToItsEnd() {
+  void callsEstablishedAtAKillLastToTheirEnd() {
     for (long boundary = 200; boundary < 3_900; boundary += 1_200) {
       Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.boundaries(), 2, boundary);
-      Set<String> cut =
+      Set<String> endedEarly =
           result.callResults().stream()
-              .filter(fate -> fate.disconnected() || fate.endedByRemote())
-              .map(fate -> fate.plannedCall().sessionIdPrefix())
+              .filter(callResult -> callResult.disconnected() || callResult.endedByRemote())
+              .map(callResult -> callResult.plannedCall().sessionIdPrefix())
               .collect(Collectors.toCollection(TreeSet::new));
-      cut.retainAll(result.restarts().establishedAtKill().keySet());
+      endedEarly.retainAll(result.restarts().establishedAtKill().keySet());
       assertEquals(1, result.restarts().killCount());
-      assertEquals(Set.of(), cut);
+      assertEquals(Set.of(), endedEarly);
     }
   }
 
   @Test
-  void aDayWithoutKillsIsAsWithoutADisk() {
+  void aScenarioWithoutKillsIsClean() {
     Rehearsal.Result result = SeedSweep.playWithKillAt(Scenarios.boundaries(), 1, -1);
     assertTrue(result.isClean());
     assertEquals(0, result.restarts().killCount());
@@ -79,71 +79,72 @@
   // ---- Mutations: the checker goes red --------------------------------------------------------
 
   /** A store that passes everything on, for mutants to change one thing of. */
-  private static class Between implements CallStore {
-    final CallStore inner;
+  private static class ForwardingStore implements CallStore {
+    final CallStore delegate;
 
-    Between(CallStore inner) {
-      this.inner = inner;
+    ForwardingStore(CallStore inner) {
+      this.delegate = inner;
     }
 
     @Override
     public void put(SavedCall call) {
-      inner.put(call);
+      delegate.put(call);
     }
 
     @Override
     public void remove(String id) {
-      inner.remove(id);
+      delegate.remove(id);
     }
 
     @Override
-    public void sync(Consumer<Boolean> done) {
-      inner.sync(done);
+    public void sync(Consumer<Boolean> whenSynced) {
+      delegate.sync(whenSynced);
     }
 
     @Override
     public Contents initialContents() {
-      return inner.initialContents();
+      return delegate.initialContents();
     }
 
     @Override
     public void markUpToDate() {
-      inner.markUpToDate();
+      delegate.markUpToDate();
     }
 
     @Override
     public void onRecreated(Runnable putAll) {
-      inner.onRecreated(putAll);
+      delegate.onRecreated(putAll);
     }
   }
 
-  private static int failing(UnaryOperator<CallStore> mutant) {
-    int failing = 0;
+  private static int countFailedRuns(UnaryOperator<CallStore> storeWrapper) {
+    int failed = 0;
     for (long seed = 10; seed <= 16; seed++) {
-      try (SimulatedNetwork world = new SimulatedNetwork(seed)) {
-        ControllerRestarts lives = new ControllerRestarts(world, BUDGET, seed, mutant);
+      try (SimulatedNetwork network = new SimulatedNetwork(seed)) {
+        ControllerRestarts restarts =
+            new ControllerRestarts(network, RECOVERY_BUDGET, seed, storeWrapper);
         Rehearsal.Result result =
-            Rehearsal.playWithRestarts(world, Scenarios.restarts(seed), seed, lives);
-        failing += result.isClean() ? 0 : 1;
+            Rehearsal.playWithRestarts(network, Scenarios.restarts(seed), seed, restarts);
+        failed += result.isClean() ? 0 : 1;
       }
     }
-    return failing;
+    return failed;
   }
 
   @Test
-  void nothingChangedNothingFails() {
-    assertEquals(0, failing(Between::new));
+  void noRunFailsWithoutAMutation() {
+    assertEquals(0, countFailedRuns(ForwardingStore::new));
   }
 
   @Test
-  void aStoreThatSaysSafeTooSoonIsFound() {
+  void aStoreThatReportsSyncsTooEarlyIsDetected() {
     assertTrue(
-        failing(
+        countFailedRuns(
                 disk ->
-                    new Between(disk) {
+                    new ForwardingStore(disk) {
                       @Override
                       public void sync(Consumer<Boolean> done) {
-                        inner.sync(well -> {});
+                        delegate.sync(well -> {});
                         done.accept(true);
                       }
                     })
@@ -151,15 +152,15 @@
   }
 
   @Test
-  void setUpsThatAreNotKeptAreFound() {
+  void setUpsThatAreNotStoredAreDetected() {
     assertTrue(
-        failing(
+        countFailedRuns(
                 disk ->
-                    new Between(disk) {
+                    new ForwardingStore(disk) {
                       @Override
                       public void put(SavedCall call) {
                         if (call.phase() != Phase.SETTING_UP) {
-                          inner.put(call);
+                          delegate.put(call);
                         }
                       }
                     })
@@ -167,14 +168,14 @@
   }
 
   @Test
-  void aFailedDiskThatDoesNotSaySoIsFound() {
+  void aStoreThatHidesThatItIsOutOfDateIsDetected() {
     assertTrue(
-        failing(
+        countFailedRuns(
                 disk ->
-                    new Between(disk) {
+                    new ForwardingStore(disk) {
                       @Override
                       public Contents initialContents() {
-                        Contents found = inner.initialContents();
+                        Contents found = delegate.initialContents();
                         return new Contents(
                             found.calls(), found.damagedRecords(), false, found.incarnation());
                       }
@@ -183,14 +184,14 @@
   }
 
   @Test
-  void aLifeThatTakesItselfForTheFirstIsFound() {
+  void aRestartThatReportsTheFirstIncarnationIsDetected() {
     assertTrue(
-        failing(
+        countFailedRuns(
                 disk ->
-                    new Between(disk) {
+                    new ForwardingStore(disk) {
                       @Override
                       public Contents initialContents() {
-                        Contents found = inner.initialContents();
+                        Contents found = delegate.initialContents();
                         return new Contents(
                             found.calls(), found.damagedRecords(), found.outOfDate(), 1);
                       }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -10,245 +10,246 @@
 
 /** One controller that is killed around a call, between a caller and a switch played by hand. */
 class RestartTest {
-  private final ControllerBed bed = new ControllerBed(Transport.UDP, true);
+  private final ControllerHarness harness = new ControllerHarness(Transport.UDP, true);
 
-  private void standing() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.stand(bed.attempts().get(0), "c1");
-    bed.run(100);
-    bed.disk.flush();
+  private void establishCall() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.establish(harness.attempts().get(0), "c1");
+    harness.runFor(100);
+    harness.disk.flush();
   }
 
   @Test
-  void aCallThatStandsSurvivesAndItsCallerReleasesIt() {
-    standing();
-    String tag = bed.callerTag();
-    bed.restart(300);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.fromCaller("BYE", "c1", 2, tag);
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
-    assertTrue(bed.ownSwitch.last("BYE").field("To").endsWith("tag=far"));
-    assertEquals(0, bed.front.controller().callCount());
-    assertEquals(List.of("200"), bed.finals());
+  void theCallerCanReleaseAnEstablishedCallAfterARestart() {
+    establishCall();
+    String tag = harness.callerTag();
+    harness.restart(300);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.sendFromCaller("BYE", "c1", 2, tag);
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertTrue(harness.localSwitch.lastStartingWith("BYE").header("To").endsWith("tag=far"));
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertEquals(List.of("200"), harness.finalAnswers());
   }
 
   @Test
-  void aCallThatStandsSurvivesAndItsCalleeReleasesIt() {
-    standing();
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.restart(300);
-    bed.ownSwitch.send(
-        bed.place,
+  void theCalleeCanReleaseAnEstablishedCallAfterARestart() {
+    establishCall();
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.restart(300);
+    harness.localSwitch.send(
+        harness.controllerAddress,
         "BYE sip:x SIP/2.0\r\nVia: SIP/2.0/UDP 192.0.2.9;branch=z9hG4bKb\r\nFrom: "
-            + attempt.field("To")
+            + attempt.header("To")
             + ";tag=far\r\nTo: "
-            + attempt.field("From")
+            + attempt.header("From")
             + "\r\nCall-ID: "
-            + attempt.field("Call-ID")
+            + attempt.header("Call-ID")
             + "\r\nCSeq: 1 BYE\r\n\r\n");
-    bed.run(50);
-    assertEquals(1, bed.caller.all("BYE").size());
-    assertEquals(0, bed.front.controller().callCount());
+    harness.runFor(50);
+    assertEquals(1, harness.caller.readsStartingWith("BYE").size());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void aReinviteGoesThroughAfterARestart() {
-    standing();
-    String tag = bed.callerTag();
-    bed.restart(300);
-    bed.fromCaller("INVITE", "c1", 2, tag);
-    bed.run(20);
-    RawNode.Read again = bed.ownSwitch.last("INVITE");
-    assertTrue(again.field("To").endsWith("tag=far"));
-    bed.ownSwitch.answer(again, "200 OK", "", "");
-    bed.run(20);
-    assertEquals("2 INVITE", bed.caller.last("SIP/2.0 200").field("CSeq"));
+  void aReinviteIsForwardedAfterARestart() {
+    establishCall();
+    String tag = harness.callerTag();
+    harness.restart(300);
+    harness.sendFromCaller("INVITE", "c1", 2, tag);
+    harness.runFor(20);
+    RawNode.Read reinvite = harness.localSwitch.lastStartingWith("INVITE");
+    assertTrue(reinvite.header("To").endsWith("tag=far"));
+    harness.localSwitch.respond(reinvite, "200 OK", "", "");
+    harness.runFor(20);
+    assertEquals("2 INVITE", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
   }
 
   @Test
-  void aSetUpCutShortIsCalledOffAndItsCallerAnsweredOnce() {
-    String invite = bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.ownSwitch.answer(attempt, "100 Trying", "", "");
-    bed.run(5);
-    bed.restart(100);
-    assertEquals(1, bed.front.recovery().recoveredCalls(Phase.SETTING_UP));
-    bed.caller.send(bed.place, invite);
-    bed.run(50);
-    assertEquals(List.of("503"), bed.finals());
-    RawNode.Read cancel = bed.ownSwitch.last("CANCEL");
-    assertEquals(attempt.field("Via"), cancel.field("Via"));
-    bed.ownSwitch.answer(cancel, "200 OK", "", "");
-    bed.ownSwitch.answer(attempt, "487 Over", "t", "");
-    bed.run(50);
-    assertTrue(bed.front.recovery().isComplete());
-    assertEquals(1, bed.attempts().size());
-    assertEquals(0, bed.front.controller().callCount());
+  void anInterruptedSetUpIsCancelledAndItsCallerAnsweredOnce() {
+    String invite = harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.localSwitch.respond(attempt, "100 Trying", "", "");
+    harness.runFor(5);
+    harness.restart(100);
+    assertEquals(1, harness.frontEnd.recovery().recoveredCalls(Phase.SETTING_UP));
+    harness.caller.send(harness.controllerAddress, invite);
+    harness.runFor(50);
+    assertEquals(List.of("503"), harness.finalAnswers());
+    RawNode.Read cancel = harness.localSwitch.lastStartingWith("CANCEL");
+    assertEquals(attempt.header("Via"), cancel.header("Via"));
+    harness.localSwitch.respond(cancel, "200 OK", "", "");
+    harness.localSwitch.respond(attempt, "487 Over", "t", "");
+    harness.runFor(50);
+    assertTrue(harness.frontEnd.recovery().isComplete());
+    assertEquals(1, harness.attempts().size());
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void a200ThatCameWhileNobodyListenedIsReleased() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    RawNode.Read attempt = bed.attempts().get(0);
-    bed.restart(100);
-    bed.run(20);
-    bed.ownSwitch.answer(attempt, "200 OK", "far", "");
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
-    bed.ownSwitch.answer(bed.ownSwitch.last("BYE"), "200 OK", "", "");
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("ACK").size());
-    assertEquals(List.of("503"), bed.finals());
+  void a200ToAnAttemptFromBeforeTheRestartIsReleased() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    RawNode.Read attempt = harness.attempts().get(0);
+    harness.restart(100);
+    harness.runFor(20);
+    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    harness.localSwitch.respond(harness.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(List.of("503"), harness.finalAnswers());
   }
 
   /** The clock stands an hour before the crash: the caller cannot be known to wait still. */
   @Test
-  void withTheClockSetBackNoCallerIsAnsweredLate() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.clockStep = -3_600_000;
-    bed.restart(10_000);
-    bed.run(100);
-    assertEquals(List.of(), bed.finals());
-    assertEquals(1, bed.ownSwitch.all("CANCEL").size());
+  void noCallerIsAnsweredIfTheClockWasSetBack() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.clockStepMillis = -3_600_000;
+    harness.restart(10_000);
+    harness.runFor(100);
+    assertEquals(List.of(), harness.finalAnswers());
+    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
   }
 
   @Test
-  void theSameCallerDialsAgainWhileItsOldCallIsRecovered() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.restart(100);
-    bed.invite("c2", 4);
-    bed.run(20);
-    assertEquals(List.of("503"), bed.finals());
-    assertEquals(2, bed.attempts().size());
-    bed.ownSwitch.answer(bed.ownSwitch.last("CANCEL"), "200 OK", "", "");
-    bed.ownSwitch.answer(bed.attempts().get(0), "487 Over", "t", "");
-    bed.run(50);
-    bed.stand(bed.attempts().get(1), "c2");
-    assertEquals(List.of("503", "200"), bed.finals());
-    assertEquals(1, bed.front.controller().callCount());
+  void theCallerCanRedialWhileItsOldCallIsRecovered() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.restart(100);
+    harness.invite("c2", 4);
+    harness.runFor(20);
+    assertEquals(List.of("503"), harness.finalAnswers());
+    assertEquals(2, harness.attempts().size());
+    harness.localSwitch.respond(harness.localSwitch.lastStartingWith("CANCEL"), "200 OK", "", "");
+    harness.localSwitch.respond(harness.attempts().get(0), "487 Over", "t", "");
+    harness.runFor(50);
+    harness.establish(harness.attempts().get(1), "c2");
+    assertEquals(List.of("503", "200"), harness.finalAnswers());
+    assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void anInviteThatComesAgainIsNoSecondCallHoweverLongRecoveryTakes() {
-    String invite = bed.invite("c1", 4);
-    bed.run(20);
-    bed.restart(10);
+  void retransmittedInvitesDuringRecoveryMakeNoSecondCall() {
+    String invite = harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.restart(10);
     for (int i = 0; i < 5; i++) {
-      bed.caller.send(bed.place, invite);
-      bed.run(5);
+      harness.caller.send(harness.controllerAddress, invite);
+      harness.runFor(5);
     }
-    assertEquals(1, bed.attempts().size());
-    assertEquals(List.of("503"), bed.finals());
+    assertEquals(1, harness.attempts().size());
+    assertEquals(List.of("503"), harness.finalAnswers());
   }
 
   /** Both ends are starting too: each is asked three times before the call is let go. */
   @Test
-  void endsThatCannotBeReachedAreAskedAgainAndThenReleased() {
-    standing();
-    bed.world.setReachable("switch", false);
-    bed.restart(300);
-    bed.run(60_000);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.run(80_000);
-    assertEquals(0, bed.front.controller().callCount());
-    assertTrue(!bed.caller.all("BYE").isEmpty());
+  void unreachableEndsAreVerifiedAgainAndThenReleased() {
+    establishCall();
+    harness.network.setReachable("switch", false);
+    harness.restart(300);
+    harness.runFor(60_000);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.runFor(80_000);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertTrue(!harness.caller.readsStartingWith("BYE").isEmpty());
   }
 
   @Test
-  void aSessionTimerThatRanBeforeTheRestartRunsOn() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "200 OK", "far", "Session-Expires: 90\r\n");
-    bed.run(10);
-    bed.fromCaller("ACK", "c1", 1, bed.callerTag());
-    bed.run(100);
-    bed.disk.flush();
-    bed.restart(300);
-    RawNode.Read asked = answerAll("OPTIONS", 85_000);
-    assertTrue(asked != null);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.run(10_000);
-    assertEquals(0, bed.front.controller().callCount());
+  void theSessionTimerContinuesAcrossARestart() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(
+        harness.attempts().get(0), "200 OK", "far", "Session-Expires: 90\r\n");
+    harness.runFor(10);
+    harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
+    harness.runFor(100);
+    harness.disk.flush();
+    harness.restart(300);
+    RawNode.Read verified = respondToBothEnds("OPTIONS", 85_000);
+    assertTrue(verified != null);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.runFor(10_000);
+    assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
   /** Both ends say that they hold the call; the last request that was answered. */
-  private RawNode.Read answerAll(String method, double lasts) {
-    bed.run(1_000);
-    RawNode.Read far = bed.ownSwitch.last(method);
-    bed.ownSwitch.answer(far, "200 OK", "", "");
-    bed.caller.answer(bed.caller.last(method), "200 OK", "", "");
-    bed.run(lasts);
-    return far;
+  private RawNode.Read respondToBothEnds(String method, double durationMillis) {
+    harness.runFor(1_000);
+    RawNode.Read remoteRequest = harness.localSwitch.lastStartingWith(method);
+    harness.localSwitch.respond(remoteRequest, "200 OK", "", "");
+    harness.caller.respond(harness.caller.lastStartingWith(method), "200 OK", "", "");
+    harness.runFor(durationMillis);
+    return remoteRequest;
   }
 
   @Test
-  void killedBetweenTheWriteAndOurAnswerTheCallStands() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "200 OK", "far", "");
-    bed.run(1 + ControllerBed.SYNC / 2);
-    assertEquals(List.of(), bed.finals());
-    bed.disk.flush();
-    bed.restart(100);
-    bed.run(20);
-    assertEquals(List.of("200"), bed.finals());
-    bed.fromCaller("ACK", "c1", 1, bed.callerTag());
-    bed.run(20_000);
-    assertEquals(1, bed.front.controller().callCount());
+  void aCallStoredBeforeTheCrashButNotAnsweredIsEstablished() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "200 OK", "far", "");
+    harness.runFor(1 + ControllerHarness.SYNC_MILLIS / 2);
+    assertEquals(List.of(), harness.finalAnswers());
+    harness.disk.flush();
+    harness.restart(100);
+    harness.runFor(20);
+    assertEquals(List.of("200"), harness.finalAnswers());
+    harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
+    harness.runFor(20_000);
+    assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
   @Test
-  void killedBeforeTheWriteOfTheAttemptNothingIsKnownAndNothingLeft() {
-    bed.invite("c1", 4);
-    bed.run(1 + ControllerBed.SYNC / 2);
-    bed.restart(100);
-    bed.run(100);
-    assertEquals(0, bed.attempts().size());
-    assertEquals(0, bed.front.recovery().recoveredCalls(Phase.SETTING_UP));
-    assertEquals(List.of(), bed.finals());
+  void aCrashBeforeTheAttemptIsStoredSendsNothing() {
+    harness.invite("c1", 4);
+    harness.runFor(1 + ControllerHarness.SYNC_MILLIS / 2);
+    harness.restart(100);
+    harness.runFor(100);
+    assertEquals(0, harness.attempts().size());
+    assertEquals(0, harness.frontEnd.recovery().recoveredCalls(Phase.SETTING_UP));
+    assertEquals(List.of(), harness.finalAnswers());
   }
 
   @Test
-  void aFinalAnswerOnItsWayIsTheSameAfterwards() {
-    bed.invite("c1", 4);
-    bed.run(20);
-    bed.ownSwitch.answer(bed.attempts().get(0), "404 No", "t", "");
-    bed.run(1 + ControllerBed.SYNC / 2);
-    bed.disk.flush();
-    bed.restart(100);
-    bed.run(50);
-    assertEquals(List.of("404"), bed.finals());
+  void aStoredFinalAnswerIsRepeatedAfterARestart() {
+    harness.invite("c1", 4);
+    harness.runFor(20);
+    harness.localSwitch.respond(harness.attempts().get(0), "404 No", "t", "");
+    harness.runFor(1 + ControllerHarness.SYNC_MILLIS / 2);
+    harness.disk.flush();
+    harness.restart(100);
+    harness.runFor(50);
+    assertEquals(List.of("404"), harness.finalAnswers());
   }
 
   @Test
-  void aCallWhoseFarEndLeftMeanwhileIsFoundAndReleased() {
-    standing();
-    bed.restart(300);
-    bed.run(150);
-    RawNode.Read asked = bed.ownSwitch.last("OPTIONS");
-    assertTrue(asked.field("To").endsWith("tag=far"));
-    bed.ownSwitch.answer(asked, "481 Gone", "", "");
-    bed.run(50);
-    assertEquals(0, bed.front.controller().callCount());
-    assertEquals(1, bed.caller.all("BYE").size());
+  void aCallWhoseRemoteEndLeftIsReleasedAfterARestart() {
+    establishCall();
+    harness.restart(300);
+    harness.runFor(150);
+    RawNode.Read request = harness.localSwitch.lastStartingWith("OPTIONS");
+    assertTrue(request.header("To").endsWith("tag=far"));
+    harness.localSwitch.respond(request, "481 Gone", "", "");
+    harness.runFor(50);
+    assertEquals(0, harness.frontEnd.controller().callCount());
+    assertEquals(1, harness.caller.readsStartingWith("BYE").size());
   }
 
   @Test
-  void killedTwiceDuringRecoveryItStillStands() {
-    standing();
-    String tag = bed.callerTag();
-    bed.restart(50);
-    bed.restart(50);
-    bed.restart(50);
-    assertEquals(1, bed.front.controller().callCount());
-    bed.fromCaller("BYE", "c1", 2, tag);
-    bed.run(50);
-    assertEquals(1, bed.ownSwitch.all("BYE").size());
+  void anEstablishedCallSurvivesCrashesDuringRecovery() {
+    establishCall();
+    String tag = harness.callerTag();
+    harness.restart(50);
+    harness.restart(50);
+    harness.restart(50);
+    assertEquals(1, harness.frontEnd.controller().callCount());
+    harness.sendFromCaller("BYE", "c1", 2, tag);
+    harness.runFor(50);
+    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
@@ -26,10 +26,10 @@
   @ParameterizedTest
   @ValueSource(
       longs = {1371, 3143, 5193, 5195, 5509, 6127, 6990, 7253, 7425, 7506, 8866, 9316, 9355, 9689})
-  void seedsThatFailedOnce(long seed) {
-    try (Network world = new SimulatedNetwork(seed)) {
+  void seedsThatFailedBefore(long seed) {
+    try (Network network = new SimulatedNetwork(seed)) {
       Rehearsal.Result result =
-          Rehearsal.play(world, Scenarios.small(seed), seed, FaultInjection.NONE);
+          Rehearsal.play(network, Scenarios.small(seed), seed, FaultInjection.NONE);
       assertTrue(result.isClean(), result.ruleReport().toString());
     }
   }
