--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -11,9 +11,8 @@
 import java.util.Set;
 
 /**
- * Judges the five rules from what crossed the wire and from nothing else. It knows which nodes are
- * controllers and which are switches, and the figures of the rules; it shares no code with the
- * controllers.
+ * Checks the five rules against the recorded messages and notes alone. It is told which nodes are
+ * controllers and the limits of the rules, and shares no code with the controllers.
  */
 public final class Checker {
   private static final double ROUNDING_MILLIS = 1;
@@ -28,14 +27,17 @@
   private final RuleReport report = new RuleReport();
 
   /**
-   * The figures of the rules.
+   * The limits that the rules refer to.
    *
-   * @param guardTimeMillis wait before a call is sent again after an unsure end, ms
-   * @param drainGraceMillis time to cease sending after word of a drain, ms
-   * @param answerSlackMillis time after the caller's patience in which a final answer still counts,
+   * @param guardTimeMillis minimum time between an uncertain end of an attempt and the next attempt
+   *     of the call, ms
+   * @param drainGraceMillis time after the notice of a drain within which set-ups may still be
+   *     sent, ms
+   * @param answerSlackMillis time after the end of the caller's patience within which a final
+   *     answer is still in time, ms
+   * @param attemptTimeoutMillis time after which an attempt without any response is over (64*T1),
    *     ms
-   * @param attemptTimeoutMillis time after which an attempt without any answer is over (64*T1), ms
-   * @param recoveryMillis time after a start in which callers known from before it are answered, ms
+   * @param recoveryMillis time after a restart within which callers from before it are answered, ms
    */
   public record Limits(
       double guardTimeMillis,
@@ -44,13 +46,13 @@
       double attemptTimeoutMillis,
       double recoveryMillis) {}
 
-  /** Makes a checker for these controllers. */
-  public Checker(Limits figures, Set<String> controllers) {
-    this.limits = figures;
+  /** Creates a checker for the controllers with these node names. */
+  public Checker(Limits limits, Set<String> controllers) {
+    this.limits = limits;
     this.controllers = controllers;
   }
 
-  /** Judges a whole run; it ended at the last entry. */
+  /** Checks a whole run, which ended at the last entry. */
   public RuleReport check(List<MessageRecorder.Entry> entries) {
     double end = 0;
     for (MessageRecorder.Entry entry : entries) {
@@ -71,9 +73,10 @@
   }
 
   /**
-   * Notes that begin with "cold" tell setup, from, ramp, multiple and window of a start; "killed"
-   * and "started" bound the time that a controller was down, "disk fails" says that it went on
-   * without keeping its calls.
+   * Evaluates a note. "cold" is followed by the parameters of a cold start, in the order that
+   * {@link ColdProcessor} names; "frozen for" by a duration in ms; "killed" and "started" enclose a
+   * downtime of a controller; after "disk fails" a controller continues without persisting its
+   * calls.
    */
   private void readNote(MessageRecorder.Entry entry) {
     if (entry.note().startsWith("cold ")) {
@@ -96,8 +99,8 @@
   }
 
   /**
-   * When a controller could answer that had to by a time: the rule binds running controllers, and
-   * one that was made to stand still runs again only at the end of that.
+   * The latest time at which an answer due at the given time is still accepted. The rule applies to
+   * running controllers: a frozen one can only answer once it is no longer frozen.
    */
   private double latestAnswerTime(String controller, double dueAt) {
     double latest = dueAt;
@@ -113,9 +116,10 @@
   }
 
   /**
-   * Whether a call may end without an answer because its controller was down while it waited. What
-   * is asked of the next life: a caller whose INVITE came again is answered, and so is one whose
-   * attempt had left, if it can still be reached and has time to hear it.
+   * Whether a call may end without an answer because its controller was down while it was pending.
+   * After a restart the controller has to answer a caller whose INVITE was received again. It also
+   * has to answer one whose attempt had been sent and who can still be reached, which is only so
+   * over UDP. In both cases the caller's patience must exceed the time that recovery may take.
    */
   private boolean isExcused(String controller, ReceivedCall call) {
     double[] lastDowntime = null;
@@ -137,7 +141,12 @@
     return !answerDue || unpersisted.contains(controller);
   }
 
-  /** A processor that started cold, and the set-ups that came to it. */
+  /**
+   * A processor that was started cold, and the set-ups it received. Its parameters are, by index: 0
+   * processing time of a set-up, ms; 1 share of its capacity at the start; 2 time until it has its
+   * full capacity, ms; 3 multiple of its present capacity beyond which it crashes; 4 length of the
+   * window over which set-ups are counted, ms.
+   */
   private final class ColdProcessor {
     private final String name;
     private final double startedAt;
@@ -175,7 +184,7 @@
     }
   }
 
-  /** A call as its controller was handed it. */
+  /** A call that a controller received. */
   private static final class ReceivedCall {
     private final String sessionId;
     private double receivedAt;
@@ -196,7 +205,7 @@
     }
   }
 
-  /** One attempt as it left a controller. */
+  /** One attempt that a controller sent. */
   private static final class Attempt {
     private final double sentAt;
     private final String peer;
@@ -222,7 +231,7 @@
     }
   }
 
-  /** One controller, seen from its wire. */
+  /** One controller, known by the messages that it received and sent. */
   private final class ObservedController {
     private final String name;
     private final Map<String, ReceivedCall> callsByCallId = new LinkedHashMap<>();
@@ -250,7 +259,7 @@
       }
     }
 
-    // ---- What it read -----------------------------------------------------------------------
+    // ---- Received messages ------------------------------------------------------------------
 
     private void onReceived(MessageRecorder.Entry entry, WireMessage message) {
       if (message.isRequest("INVITE") && message.toTag().isEmpty()) {
@@ -278,8 +287,8 @@
     }
 
     /**
-     * An INVITE that comes again to a life of its controller that knows nothing of it is taken
-     * then, and with the patience that it bears.
+     * A retransmitted INVITE counts as a new one, with its full patience, if the controller
+     * restarted in between and had stored nothing of the call.
      */
     private void onRepeatedInvite(
         ReceivedCall call, MessageRecorder.Entry entry, WireMessage message) {
@@ -327,7 +336,7 @@
       }
     }
 
-    // ---- What it sent -----------------------------------------------------------------------
+    // ---- Sent messages ----------------------------------------------------------------------
 
     private void onSent(MessageRecorder.Entry entry, WireMessage message) {
       Attempt known = attemptsByCallId.get(message.callId());
@@ -420,7 +429,7 @@
       }
     }
 
-    // ---- The end ----------------------------------------------------------------------------
+    // ---- End of the run ---------------------------------------------------------------------
 
     void finish(double end) {
       for (ReceivedCall call : callsByCallId.values()) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
@@ -12,8 +12,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Controllers that are killed and started again in virtual time, each with a disk of its own. Kills
- * fall between events, or at a boundary: before a message leaves, after one was taken, before and
+ * Kills and restarts controllers in virtual time, each with a disk of its own. A kill happens
+ * between two events or at a boundary: before a message is sent, after one was received, before or
  * after a sync takes effect.
  */
 public final class ControllerRestarts {
@@ -35,12 +35,12 @@
   private boolean diskFailed;
   private Fleet fleet;
 
-  /** Makes the lives of a fleet that is yet to be built. */
+  /** Creates the restarts of a fleet that has yet to be built. */
   public ControllerRestarts(SimulatedNetwork network, RecoveryRate.Budget budget, long seed) {
     this(network, budget, seed, UnaryOperator.identity());
   }
 
-  /** The same with something between controllers and their disks, such as a mutation. */
+  /** The same with a wrapper around the disks, such as a mutation. */
   ControllerRestarts(
       SimulatedNetwork network,
       RecoveryRate.Budget budget,
@@ -53,12 +53,12 @@
     network.onBoundary(this::onBoundary, this::onCrash);
   }
 
-  /** Names the fleet whose controllers they are. */
+  /** Sets the fleet to which the controllers belong. */
   void setFleet(Fleet fleet) {
     this.fleet = fleet;
   }
 
-  /** Where a controller keeps its calls, put into the machine that it is to run on. */
+  /** The persistent store of a controller, attached to the host that it is to run on. */
   SipFront.Persistence persistence(String name, SipHost host) {
     SimulatedDisk disk =
         disks.computeIfAbsent(
@@ -86,17 +86,17 @@
     }
   }
 
-  /** Kills some controller at this boundary, counted over all controllers from the beginning. */
+  /** Kills whichever controller reaches this boundary, counted over all from the start. */
   public void killAtBoundary(long boundary) {
     killAtBoundary = boundary;
   }
 
-  /** Kills a controller at its so manieth boundary from now on. */
+  /** Kills a controller at the last of its given number of boundaries from now on. */
   public void killAfterBoundaries(int exchange, int boundaries) {
     boundariesUntilKill.put(Fleet.controllerName(exchange), boundaries);
   }
 
-  /** Kills a controller now, between two events; it is down already where it was killed before. */
+  /** Kills a controller now, between two events, unless it is down already. */
   public void kill(int exchange) {
     String name = Fleet.controllerName(exchange);
     if (!down.getOrDefault(name, false)) {
@@ -126,17 +126,17 @@
     return Integer.parseInt(name.substring(name.indexOf('-') + 1));
   }
 
-  /** Calls that stood at some kill of their controller, by session. */
+  /** Calls that were established when their controller was killed, by Session-ID prefix. */
   public Map<String, PlannedCall> establishedAtKill() {
     return establishedAtKill;
   }
 
-  /** How long controllers stay down from now on, ms. */
+  /** Sets how long controllers that are killed from now on stay down, ms. */
   public void setDowntimeMillis(double downtimeMillis) {
     this.downtimeMillis = downtimeMillis;
   }
 
-  /** Makes a controller's disk fail, or work again. */
+  /** Makes a controller's disk fail or work again. */
   public void setDiskFailing(int exchange, boolean failing) {
     if (failing) {
       diskFailed = true;
@@ -145,17 +145,17 @@
     disks.get(Fleet.controllerName(exchange)).setFailing(failing);
   }
 
-  /** Boundaries passed so far by all controllers. */
+  /** Number of boundaries that all controllers have passed so far. */
   public long boundaryCount() {
     return boundaryCount;
   }
 
-  /** Whether any disk failed: calls went on unkept, and some may be held for ever. */
+  /** Whether any disk failed: calls continued unpersisted, and some may never be released. */
   public boolean diskFailed() {
     return diskFailed;
   }
 
-  /** Kills so far. */
+  /** Number of kills so far. */
   public int killCount() {
     return killCount;
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
@@ -9,10 +9,11 @@
 import java.util.Map;
 
 /**
- * The wire of controllers that run as processes of their own, told from what their peers sent and
- * read: what a peer sent to a controller counts as read by it then, what a peer read as sent by the
- * controller when it arrived. What was sent to a process that was down counts as read too; the
- * checker excuses calls by the notes on kills and starts.
+ * The messages of controllers that run as separate processes, derived from the records of their
+ * peers. A message that a peer sent to a controller counts as read by the controller at that time;
+ * a message that a peer read counts as sent by the controller at its arrival. A message to a
+ * process that was down counts as read, too; the checker uses the notes on kills and restarts to
+ * excuse such calls.
  */
 public final class ControllerTrafficView {
   private final Map<Integer, String> controllersByPort = new HashMap<>();
@@ -20,18 +21,19 @@
   private final Map<Hop, String> controllersByConnection = new HashMap<>();
 
   /**
-   * Makes a view.
+   * Creates a view.
    *
-   * @param controllers place of each controller by its number
-   * @param peers place of each peer by its name
+   * @param controllers address of each controller by its exchange number
+   * @param peers address of each peer by its node name
    */
   public ControllerTrafficView(Map<Integer, Hop> controllers, Map<String, Hop> peers) {
     controllers.forEach(
-        (number, hop) -> controllersByPort.put(hop.port(), Fleet.controllerName(number)));
+        (exchange, address) ->
+            controllersByPort.put(address.port(), Fleet.controllerName(exchange)));
     peerAddresses = Map.copyOf(peers);
   }
 
-  /** All entries, the controllers' added, in the order of their times. */
+  /** The recorded entries together with those of the controllers, ordered by time. */
   public List<MessageRecorder.Entry> withControllerEntries(List<MessageRecorder.Entry> recorded) {
     List<MessageRecorder.Entry> all = new ArrayList<>();
     for (MessageRecorder.Entry entry : recorded) {
@@ -54,7 +56,7 @@
         time, controller, kind, peer, time, entry.message(), null, null);
   }
 
-  /** The controller at the other side of a message; null if it is none. */
+  /** The controller to or from which a message was sent; null if there is none. */
   private String controllerOf(MessageRecorder.Entry entry) {
     String controller = controllersByPort.get(entry.peer().port());
     if (controller != null || entry.peer().transport() == Transport.UDP) {
@@ -66,7 +68,7 @@
     return controllersByConnection.get(entry.peer());
   }
 
-  /** A connection that a controller opened has any port; the Via of its requests tells whose. */
+  /** Assigns a connection by the Via of a request: its port does not identify the controller. */
   private void learnConnection(MessageRecorder.Entry entry) {
     WireMessage message = WireMessage.parse(entry.message());
     if (message != null && message.status() == 0) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/FaultInjection.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/FaultInjection.java
@@ -9,25 +9,25 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What a rehearsal puts between a controller and its world. The sound one puts nothing; mutations
- * use it to break a rule on purpose, so that the checker can be seen to go red.
+ * What a rehearsal inserts between a controller and its environment. {@link #NONE} inserts nothing;
+ * mutations break a rule on purpose to show that the checker detects it.
  *
- * @param hostWrapper wraps the world of each controller
- * @param policyFactory makes the policy of a controller
- * @param guardFactory makes the last look before a send
+ * @param hostWrapper wraps the host of each controller
+ * @param policyFactory creates the policy of a controller
+ * @param guardFactory creates the guard that checks each set-up before it is sent
  */
 public record FaultInjection(
     UnaryOperator<SipHost> hostWrapper,
     PolicyFactory policyFactory,
     Supplier<AttemptGuard> guardFactory) {
 
-  /** Makes a controller's policy. */
+  /** Creates the policy of a controller. */
   public interface PolicyFactory {
-    /** Makes it from the settings, a seed, and where its actions go. */
+    /** Creates a policy from its settings, a seed and the receiver of its actions. */
     CallPolicy make(CallPolicy.Settings settings, long seed, CallPolicy.Actions actions);
   }
 
-  /** Leaves controllers as they are. */
+  /** Leaves controllers unchanged. */
   public static final FaultInjection NONE =
       new FaultInjection(
           UnaryOperator.identity(),
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A whole fleet on a world: controllers, their switches, the list, callers. */
+/** A whole fleet on a network: controllers, their switches, the exchange directory, callers. */
 public final class Fleet {
   private static final String STANDIN_THREAD = "standins";
 
@@ -44,18 +44,23 @@
   private StandinCallers callers;
   private int restartCount;
 
-  /** Builds a fleet; time has not begun yet. */
+  /** Builds a fleet whose controllers are never killed. The network does not run yet. */
   public Fleet(Network network, FleetConfig config, long seed, FaultInjection faults) {
     this(network, config, seed, faults, null);
   }
 
-  /** Builds all but the controllers, which run as processes of their own at these places. */
+  /** Builds all but the controllers, which run as separate processes at these addresses. */
   public Fleet(
       Network network, FleetConfig config, long seed, Map<Integer, Hop> externalControllers) {
     this(network, config, seed, FaultInjection.NONE, null, externalControllers);
   }
 
-  /** Builds a fleet whose controllers keep their calls and can be killed; null lives: not so. */
+  /**
+   * Builds a fleet whose controllers may persist their calls and be killed.
+   *
+   * @param restarts kills and restarts the controllers; null if they are neither killed nor persist
+   *     their calls
+   */
   public Fleet(
       Network network,
       FleetConfig config,
@@ -108,18 +113,18 @@
   }
 
   /** Name of a controller's node. */
-  public static String controllerName(int number) {
-    return "controller-" + number;
+  public static String controllerName(int exchange) {
+    return "controller-" + exchange;
   }
 
   /** Name of a switch's node. */
-  public static String switchName(int number) {
-    return "switch-" + number;
+  public static String switchName(int exchange) {
+    return "switch-" + exchange;
   }
 
   /** Domain of an exchange. */
-  public static String domain(int number) {
-    return "x" + number + ".example";
+  public static String domain(int exchange) {
+    return "x" + exchange + ".example";
   }
 
   private void addStandins() {
@@ -134,9 +139,9 @@
       Hop switchAddress = network.reserveAddress(switchName(i));
       switchesByDomain.put(domain(i), switchAddress);
       exchangesByDomain.put(domain(i), i);
-      String address = "sip:" + switchAddress.host() + ':' + switchAddress.port();
+      String switchUri = "sip:" + switchAddress.host() + ':' + switchAddress.port();
       directoryEntries.put(
-          i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), address, "in-service", -1));
+          i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), switchUri, "in-service", -1));
     }
     directory.addEntries(List.copyOf(directoryEntries.values()));
     for (int i = 0; i < config.exchangeCount(); i++) {
@@ -159,15 +164,15 @@
   }
 
   private SwitchConfig switchConfig(
-      int number, Map<String, Hop> switchesByDomain, Map<String, Integer> exchangesByDomain) {
+      int exchange, Map<String, Hop> switchesByDomain, Map<String, Integer> exchangesByDomain) {
     Map<String, Integer> widthsByPriority = new HashMap<>();
     config
         .callClasses()
         .forEach(callClass -> widthsByPriority.put(callClass.priority(), callClass.width()));
     return new SwitchConfig(
-        number,
-        domain(number),
-        controllerAddresses.get(number),
+        exchange,
+        domain(exchange),
+        controllerAddresses.get(exchange),
         switchesByDomain,
         exchangesByDomain,
         widthsByPriority,
@@ -177,28 +182,28 @@
         config.timing());
   }
 
-  private void addController(int number) {
-    CallPolicy.Settings policySettings = config.policySettings(number);
-    FrontSettings frontSettings = frontSettings(number);
+  private void addController(int exchange) {
+    CallPolicy.Settings policySettings = config.policySettings(exchange);
+    FrontSettings frontSettings = frontSettings(exchange);
     SipFront frontEnd =
         network.addNode(
-            controllerName(number),
-            controllerName(number),
+            controllerName(exchange),
+            controllerName(exchange),
             host -> newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
-    controllers.put(number, frontEnd);
+    controllers.put(exchange, frontEnd);
   }
 
-  /** A controller that was killed starts, from what its disk holds. */
-  void restartController(int number) {
-    CallPolicy.Settings policySettings = config.policySettings(number);
-    FrontSettings frontSettings = frontSettings(number);
+  /** Restarts a controller that was killed, from the contents of its disk. */
+  void restartController(int exchange) {
+    CallPolicy.Settings policySettings = config.policySettings(exchange);
+    FrontSettings frontSettings = frontSettings(exchange);
     SipFront frontEnd =
         ((SimulatedNetwork) network)
             .restartNode(
-                controllerName(number),
+                controllerName(exchange),
                 host ->
                     newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
-    controllers.put(number, frontEnd);
+    controllers.put(exchange, frontEnd);
   }
 
   private SipFront newFrontEnd(
@@ -216,15 +221,15 @@
             : restarts.persistence(controllerName(policySettings.localExchange()), host));
   }
 
-  private FrontSettings frontSettings(int number) {
+  private FrontSettings frontSettings(int exchange) {
     List<String> names =
         config.callClasses().stream().map(FleetConfig.CallClassConfig::name).toList();
     List<String> priorities =
         config.callClasses().stream().map(FleetConfig.CallClassConfig::priority).toList();
-    Transport switchTransport = number % 2 == 0 ? Transport.TCP : Transport.UDP;
+    Transport switchTransport = exchange % 2 == 0 ? Transport.TCP : Transport.UDP;
     return new FrontSettings(
-        domain(number),
-        network.reserveAddress(switchName(number)).withTransport(switchTransport),
+        domain(exchange),
+        network.reserveAddress(switchName(exchange)).withTransport(switchTransport),
         network.reserveAddress("list").withTransport(Transport.TCP),
         new ClassTable(names, priorities, List.of(), 0),
         3000,
@@ -235,26 +240,26 @@
         SipStack.Limits.DEFAULT);
   }
 
-  // ---- What scripts do ----------------------------------------------------------------------
+  // ---- Actions of scenarios -----------------------------------------------------------------
 
   /** Sets the calls to be made. */
   public void setPlannedCalls(List<PlannedCall> plannedCalls) {
     callers.setPlannedCalls(plannedCalls);
   }
 
-  /** What kills controllers and starts them again; null where that is not part of the day. */
+  /** Kills and restarts the controllers; null if the scenario has no kills. */
   public ControllerRestarts restarts() {
     return restarts;
   }
 
-  /** A switch. */
-  public StandinSwitch switchOf(int number) {
-    return switches.get(number);
+  /** The switch of an exchange. */
+  public StandinSwitch switchOf(int exchange) {
+    return switches.get(exchange);
   }
 
-  /** A controller. */
-  public SipFront controller(int number) {
-    return controllers.get(number);
+  /** The controller of an exchange. */
+  public SipFront controller(int exchange) {
+    return controllers.get(exchange);
   }
 
   /** The callers. */
@@ -267,47 +272,47 @@
     return trunks;
   }
 
-  /** The plan. */
+  /** The configuration of the fleet. */
   public FleetConfig config() {
     return config;
   }
 
-  /** What became of each call that is over. */
+  /** The result of each call that is over. */
   public List<StandinCallers.CallResult> callResults() {
     return List.copyOf(callResults);
   }
 
-  /** The list says that an exchange drains. On the stand-ins' thread. */
-  public void drain(int number) {
-    directory.scheduleUpdate(List.of(directoryEntries.get(number).withState("draining")));
+  /** Announces in the exchange directory that an exchange drains. Runs on the stand-ins' thread. */
+  public void drain(int exchange) {
+    directory.scheduleUpdate(List.of(directoryEntries.get(exchange).withState("draining")));
   }
 
-  /** A processor stops: calls through it are cut, its connections reset. */
-  public void stop(int number) {
-    switches.get(number).disconnectAll();
-    switches.get(number).stop();
-    network.setReachable(switchName(number), false);
+  /** Stops a processor: calls through it are disconnected, its connections reset. */
+  public void stop(int exchange) {
+    switches.get(exchange).disconnectAll();
+    switches.get(exchange).stop();
+    network.setReachable(switchName(exchange), false);
   }
 
-  /** A new processor takes the place of one that stopped; it begins cold. */
-  public void startCold(int number) {
+  /** Replaces a stopped processor by a new one that starts cold. */
+  public void startCold(int exchange) {
     restartCount++;
-    StandinDirectory.Entry previous = directoryEntries.get(number);
+    StandinDirectory.Entry previous = directoryEntries.get(exchange);
     StandinDirectory.Entry restarted =
         new StandinDirectory.Entry(
-            "x" + number + "-" + restartCount,
-            number,
+            "x" + exchange + "-" + restartCount,
+            exchange,
             previous.domain(),
             previous.address(),
             "in-service",
             network.now());
-    directoryEntries.put(number, restarted);
+    directoryEntries.put(exchange, restarted);
     Processor.Model model = config.processorModel();
     network
         .recorder()
         .recordNote(
             network.now(),
-            switchName(number),
+            switchName(exchange),
             "cold "
                 + model.setupMillis()
                 + ' '
@@ -318,8 +323,8 @@
                 + model.coldMultiple()
                 + ' '
                 + model.coldWindowMillis());
-    network.setReachable(switchName(number), true);
-    switches.get(number).startCold();
+    network.setReachable(switchName(exchange), true);
+    switches.get(exchange).startCold();
     directory.scheduleUpdate(List.of(previous.withState("gone"), restarted));
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
@@ -9,15 +9,15 @@
 import java.util.List;
 
 /**
- * A fleet to rehearse with: sizes, classes, processors, and the figures that controllers are told.
+ * The configuration of a rehearsed fleet and of its controllers.
  *
- * @param exchangeCount how many exchanges
- * @param circuitsPerGroup circuits of each group
- * @param callsPerSecond calls a second at each exchange on a plain minute
- * @param callClasses the classes
- * @param processorModel figures of each processor
- * @param directoryDelayMillis how late the exchange list tells changes, ms
- * @param answerDelayMillis time until a called line answers, ms
+ * @param exchangeCount number of exchanges
+ * @param circuitsPerGroup number of circuits of each circuit group
+ * @param callsPerSecond calls per second that arrive at each exchange outside surges
+ * @param callClasses the call classes
+ * @param processorModel parameters of each processor
+ * @param directoryDelayMillis mean delay with which the exchange directory reports changes, ms
+ * @param answerDelayMillis time after which a called line answers, ms
  * @param timing SIP timers
  */
 public record FleetConfig(
@@ -30,28 +30,28 @@
     double answerDelayMillis,
     Timing timing) {
 
-  /** Wait after an unsure end of an attempt, ms. */
+  /** Minimum time between an uncertain end of an attempt and the call's next attempt, ms. */
   public static final double GUARD_TIME_MILLIS = 300;
 
-  /** Time to cease sending after word of a drain, ms. */
+  /** Time after the notice of a drain within which set-ups may still be sent, ms. */
   public static final double DRAIN_GRACE_MILLIS = 250;
 
-  /** Time kept for a final answer on its way to the caller, ms. */
+  /** Time reserved for a final answer to reach the caller, ms. */
   public static final double ANSWER_MARGIN_MILLIS = 30;
 
   /**
-   * One class.
+   * A call class and the behaviour of its callers.
    *
    * @param name its name in reports
    * @param priority its Resource-Priority value
    * @param trafficShare its share of all calls
-   * @param worth worth of a call that stands in time
-   * @param lateWorth share of it that a late one earns
-   * @param aimMillis wanted time to stand, ms
-   * @param patienceMillis patience of one try, whole seconds in ms
-   * @param callerTimeoutMillis how long a caller keeps trying, ms
-   * @param width circuits that it takes
-   * @param holdMillis mean time that it lasts, ms
+   * @param worth value of a call that is established within {@code aimMillis}
+   * @param lateWorth share of {@code worth} that a call established later earns, 0 to 1
+   * @param aimMillis target set-up time, ms
+   * @param patienceMillis time until a caller abandons an unanswered call, ms; whole seconds
+   * @param callerTimeoutMillis time over which a caller keeps trying, ms
+   * @param width circuits seized on each circuit group
+   * @param holdMillis mean holding time of a call, ms
    */
   public record CallClassConfig(
       String name,
@@ -65,7 +65,7 @@
       int width,
       double holdMillis) {}
 
-  /** The classes of the embedded kit. */
+  /** The call classes of all rehearsals. */
   public static final List<CallClassConfig> CALL_CLASSES =
       List.of(
           new CallClassConfig("score-check", "cove.0", 0.82, 1, 0.2, 1200, 3000, 9000, 1, 8000),
@@ -85,7 +85,7 @@
         Timing.STANDARD);
   }
 
-  /** The same with another number of exchanges and rate. */
+  /** The same with another number of exchanges and another call rate per exchange. */
   public FleetConfig withSize(int newExchangeCount, double newCallsPerSecond) {
     return new FleetConfig(
         newExchangeCount,
@@ -98,7 +98,7 @@
         timing);
   }
 
-  /** The classes as the policy wants them. */
+  /** The call classes in the form that the policy takes. */
   List<CallClass> policyClasses() {
     List<CallClass> classes = new ArrayList<>();
     for (CallClassConfig callClass : callClasses) {
@@ -115,7 +115,7 @@
     return classes;
   }
 
-  /** What the policy of one controller is told. */
+  /** The policy settings of one controller. */
   CallPolicy.Settings policySettings(int localExchange) {
     return new CallPolicy.Settings(
         Layout.MESH,
--- a/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
@@ -7,7 +7,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What a controller was told of the exchange list, read off the NOTIFYs that it got. */
+/**
+ * The exchange directory as a controller knows it, read from the NOTIFY requests that it received.
+ */
 final class KnownList {
   private static final Pattern ENTRY = Pattern.compile("\\{\"id\":[^}]*\\}");
 
@@ -59,12 +61,12 @@
     return entry.replaceAll(".*\"" + name + "\":\"([^\"]*)\".*", "$1");
   }
 
-  /** Since when no processor of that domain takes anything new; infinite while one does. */
+  /** Clock since which no processor of a domain accepts new calls, ms; infinite while one does. */
   double domainClosedSince(String domain) {
     return closedSince(domains, domain);
   }
 
-  /** The same by the address of its switch. */
+  /** The same for the processors whose switch has an address. */
   double addressClosedSince(String address) {
     return closedSince(addresses, address);
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
@@ -7,7 +7,10 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** Draws the calls of a day: Poisson arrivals, uneven destinations, classes by share, surges. */
+/**
+ * Generates the calls of a scenario: Poisson arrivals, unevenly distributed destinations, call
+ * classes by their traffic share, and surges.
+ */
 public final class LoadGenerator {
   private final FleetConfig config;
   private final SplittableRandom random;
@@ -15,13 +18,14 @@
   private final double[][] trafficWeights;
 
   /**
-   * A time of more calls than usual.
+   * A period with more calls than usual.
    *
-   * @param fromMillis its begin, ms
-   * @param toMillis its end, ms
-   * @param rateMultiple how many times the usual
-   * @param originExchange the exchange whose callers call more; -1: all
-   * @param congestedNumber number that they all call at exchange 0; null: as usual
+   * @param fromMillis start of the period, ms
+   * @param toMillis end of the period, ms
+   * @param rateMultiple multiple of the usual call rate
+   * @param originExchange exchange whose callers call more often; -1: all
+   * @param congestedNumber number at exchange 0 that 40% of the calls from other exchanges are made
+   *     to; null: none
    */
   public record Surge(
       double fromMillis,
@@ -30,7 +34,7 @@
       int originExchange,
       String congestedNumber) {}
 
-  /** Makes a source of calls. */
+  /** Creates a generator; the same seed gives the same calls. */
   public LoadGenerator(FleetConfig config, long seed) {
     this.config = config;
     this.random = new SplittableRandom(seed);
@@ -48,7 +52,7 @@
     return this;
   }
 
-  /** Draws the calls from the beginning to a clock time, in their order. */
+  /** Generates the calls from the start to a clock time, ordered by time. */
   public List<PlannedCall> generateUntil(double endMillis) {
     List<PlannedCall> calls = new ArrayList<>();
     double maxMultiple = surges.stream().mapToDouble(Surge::rateMultiple).max().orElse(1);
@@ -103,7 +107,7 @@
         2);
   }
 
-  /** Exponential, cut off so that every day comes to its end. */
+  /** Exponential holding time, ms; bounded above so that every scenario ends. */
   private double drawHold(FleetConfig.CallClassConfig callClass) {
     double drawn = -Math.log(1 - random.nextDouble()) * callClass.holdMillis();
     return Math.max(50, Math.min(drawn, 2.5 * callClass.holdMillis()));
--- a/rehearsal/src/main/java/coveladder/rehearsal/MessageRecorder.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/MessageRecorder.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 
 /**
- * Everything that crossed the wire, as seen at each node: what the checker judges from. Safe for
- * several threads; bounded in records.
+ * Records all messages that each node sent and read, together with failures and notes; the checker
+ * works on these records. Thread-safe, with a maximum number of entries.
  */
 public final class MessageRecorder {
   private static final int MAX_ENTRIES = 20_000_000;
@@ -19,29 +19,29 @@
   private final List<Entry> entries = new ArrayList<>();
   private boolean truncated;
 
-  /** What an entry is of. */
+  /** The kind of an entry. */
   public enum Kind {
-    /** A message left the node. */
+    /** The node sent a message. */
     SENT,
     /** The node read a message. */
     READ,
-    /** The node was told that a connection failed. */
+    /** A connection of the node failed. */
     FAILED,
-    /** The script did something to the node. */
+    /** The scenario did something to the node. */
     NOTE
   }
 
   /**
    * One entry.
    *
-   * @param time clock, ms
+   * @param time clock time, ms
    * @param node the node's name
-   * @param kind what it is of
-   * @param peer the other side; null for notes
-   * @param arrivedAt clock at which a message that was read had arrived, ms
+   * @param kind the kind of the entry
+   * @param peer the other side; null for a note
+   * @param arrivedAt clock time at which a message that was read had arrived, ms
    * @param message the message, or null
    * @param failure the failure, or null
-   * @param note what the script did, or null
+   * @param note what the scenario did, or null
    */
   public record Entry(
       double time,
@@ -53,27 +53,27 @@
       Failure failure,
       String note) {}
 
-  /** Writes down that a message left. */
+  /** Records that a message was sent. */
   public void recordSent(double time, String node, Hop peer, byte[] message) {
     add(new Entry(time, node, Kind.SENT, peer, time, message, null, null));
   }
 
-  /** Writes down that a message was read. */
+  /** Records that a message was read. */
   public void recordRead(double time, String node, Hop peer, double arrivedAt, byte[] message) {
     add(new Entry(time, node, Kind.READ, peer, arrivedAt, message, null, null));
   }
 
-  /** Writes down that a connection failed. */
+  /** Records that a connection failed. */
   public void recordFailure(double time, String node, Hop peer, Failure failure) {
     add(new Entry(time, node, Kind.FAILED, peer, time, null, failure, null));
   }
 
-  /** Writes down what the script did to a node. */
+  /** Records what the scenario did to a node. */
   public void recordNote(double time, String node, String note) {
     add(new Entry(time, node, Kind.NOTE, null, time, null, null, note));
   }
 
-  /** Prints all entries, messages as they were. */
+  /** Prints all entries with the unchanged text of their messages. */
   public void print(PrintWriter out) {
     for (Entry entry : entries()) {
       String text =
@@ -99,11 +99,11 @@
     }
   }
 
-  /** All entries in the order of their times; those of one node stay in their order. */
+  /** All entries, ordered by time; entries with equal times keep their order. */
   public synchronized List<Entry> entries() {
     if (truncated) {
       throw new IllegalStateException(
-          "more than " + MAX_ENTRIES + " messages: the tap is not whole");
+          "more than " + MAX_ENTRIES + " entries: the record is incomplete");
     }
     List<Entry> sorted = new ArrayList<>(entries);
     sorted.sort(Comparator.comparingDouble(Entry::time));
--- a/rehearsal/src/main/java/coveladder/rehearsal/Network.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Network.java
@@ -6,58 +6,58 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** A network with nodes on it, on sockets or simulated. Scripts run alike in both. */
+/** A network of nodes, on sockets or simulated. The same scenarios run on both. */
 public interface Network extends AutoCloseable {
 
-  /** Keeps an address for a node; UDP and TCP share its port. */
+  /** Reserves the address of a node and returns it; UDP and TCP share its port. */
   Hop reserveAddress(String name);
 
   /**
-   * Puts a node on its address.
+   * Adds a node at its address.
    *
-   * @param thread nodes of one crew share one thread
+   * @param threadName nodes with the same thread name share one thread
    */
-  <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory);
+  <N extends SipNode> N addNode(String name, String threadName, Function<SipHost, N> factory);
 
-  /** Does something to a node, on its thread, at a clock time in milliseconds. */
+  /** Runs an action on a node's thread at a clock time in milliseconds. */
   void schedule(double time, String name, Runnable action);
 
-  /** Stops a node from reading, sending and timing for so long, ms; what comes meanwhile waits. */
+  /** Freezes a node for a time in milliseconds: messages and timers wait until its end. */
   void freeze(String name, double durationMillis);
 
-  /** Takes a node off the network, its connections reset; or puts it back. */
+  /** Disconnects a node from the network, which resets its connections, or reconnects it. */
   void setReachable(String name, boolean reachable);
 
   /** Resets all stream connections of a node. */
   void resetConnections(String name);
 
-  /** What the network does to messages from now on. */
+  /** Sets the delays, loss and duplication of messages from now on. */
   void setConditions(Conditions conditions);
 
-  /** Lets time go on until the clock, or until all is done, whichever is first. */
+  /** Runs until a clock time in milliseconds or until {@code done}, whichever is earlier. */
   void runUntil(double until, BooleanSupplier done);
 
-  /** The clock, ms from the world's beginning. */
+  /** Time since the start of the network, ms. */
   double now();
 
-  /** What crossed the wire. */
+  /** The record of all messages. */
   MessageRecorder recorder();
 
   @Override
   void close();
 
   /**
-   * What a network does to messages.
+   * Delays, loss and duplication of messages.
    *
-   * @param minDelayMillis least time on the way, ms
-   * @param maxDelayMillis longest time on the way, ms; datagrams with different times overtake each
-   *     other
-   * @param lossRate share of datagrams that are lost
-   * @param duplicationRate share of datagrams that come twice
+   * @param minDelayMillis minimum delay of a message, ms
+   * @param maxDelayMillis maximum delay of a message, ms; datagrams with different delays may be
+   *     reordered
+   * @param lossRate share of datagrams that are lost, 0 to 1
+   * @param duplicationRate share of datagrams that arrive twice, 0 to 1
    */
   record Conditions(
       double minDelayMillis, double maxDelayMillis, double lossRate, double duplicationRate) {
-    /** A sound network. */
+    /** A network without faults. */
     public static final Conditions NORMAL = new Conditions(0.2, 1, 0, 0);
   }
 }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Plays a day on a world and has it judged. */
+/** Plays a scenario on a network and checks the rules. */
 public final class Rehearsal {
   private static final double SETTLE_MILLIS = 45_000;
   private static final double ANSWER_SLACK_MILLIS = 60;
@@ -16,15 +16,16 @@
   private Rehearsal() {}
 
   /**
-   * What came of a day.
+   * The result of a scenario.
    *
-   * @param ruleReport the checker's verdict
-   * @param plannedCallCount calls that were to be made
-   * @param callResults what became of each
-   * @param messageCount messages on the wire
-   * @param busyCircuits circuits still busy when all was over
-   * @param fleetConfig the fleet
-   * @param restarts kills, and what became of calls that stood; null where nothing was killed
+   * @param ruleReport what the checker found
+   * @param plannedCallCount number of calls that were planned
+   * @param callResults the result of each call that is over
+   * @param messageCount number of messages that were sent
+   * @param busyCircuits number of circuits still busy at the end
+   * @param fleetConfig the configuration of the fleet
+   * @param restarts kills of controllers and the calls established at that time; null if the
+   *     scenario has no kills
    */
   public record Result(
       RuleReport ruleReport,
@@ -35,19 +36,19 @@
       FleetConfig fleetConfig,
       ControllerRestarts restarts) {
 
-    /** Whether all rules hold and every call came to its end. */
+    /** Whether all rules hold and every call ended; after kills, also whether circuits are free. */
     public boolean isClean() {
       boolean settled = restarts == null || restarts.diskFailed() || busyCircuits == 0;
       return ruleReport.breachCount() == 0 && callResults.size() == plannedCallCount && settled;
     }
   }
 
-  /** Plays a day to its end. */
+  /** Plays a scenario to its end. */
   public static Result play(Network network, Scenario scenario, long seed, FaultInjection faults) {
     return play(network, scenario, seed, faults, null);
   }
 
-  /** Has judged what crossed the wire of a fleet. */
+  /** Checks the rules against the recorded messages of a fleet. */
   public static RuleReport checkRules(List<MessageRecorder.Entry> entries, FleetConfig config) {
     double attemptTimeout = config.timing().transactionTimeout();
     Checker.Limits limits =
@@ -64,13 +65,13 @@
     return new Checker(limits, controllers).check(entries);
   }
 
-  /** Plays a day in virtual time whose controllers keep their calls and are killed. */
+  /** Plays a scenario in virtual time whose controllers persist their calls and are killed. */
   public static Result playWithRestarts(
       SimulatedNetwork network, Scenario scenario, long seed, ControllerRestarts restarts) {
     return play(network, scenario, seed, FaultInjection.NONE, restarts);
   }
 
-  /** The same with something in between, such as a mutation. */
+  /** Plays a scenario with injected faults, such as a mutation, and with kills if not null. */
   static Result play(
       Network network,
       Scenario scenario,
@@ -78,8 +79,9 @@
       FaultInjection faults,
       ControllerRestarts restarts) {
     Fleet fleet = new Fleet(network, scenario.fleetConfig(), seed, faults, restarts);
-    List<PlannedCall> calls = scenario.load().apply(seed).generateUntil(scenario.durationMillis());
-    fleet.setPlannedCalls(calls);
+    List<PlannedCall> plannedCalls =
+        scenario.load().apply(seed).generateUntil(scenario.durationMillis());
+    fleet.setPlannedCalls(plannedCalls);
     scenario.script().accept(network, fleet);
     network.runUntil(
         scenario.durationMillis() + SETTLE_MILLIS,
@@ -90,9 +92,9 @@
     RuleReport report = checkRules(entries, scenario.fleetConfig());
     return new Result(
         report,
-        calls.size(),
+        plannedCalls.size(),
         fleet.callResults(),
-        entries.stream().filter(e -> e.kind() == MessageRecorder.Kind.SENT).count(),
+        entries.stream().filter(entry -> entry.kind() == MessageRecorder.Kind.SENT).count(),
         fleet.trunks().busyCircuits(),
         scenario.fleetConfig(),
         restarts);
--- a/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the checker found: for each rule how much was looked at and what broke it. */
+/** The findings of the checker: for each rule the number of checks and the breaches. */
 public final class RuleReport {
   private static final int MAX_TEXTS_PER_RULE = 20;
 
@@ -13,26 +13,28 @@
   private final Map<Rule, Long> checksByRule = new EnumMap<>(Rule.class);
   private final Map<Rule, Long> breachesByRule = new EnumMap<>(Rule.class);
 
-  /** The five rules of the brief. */
+  /** The five rules that every scenario has to keep. */
   public enum Rule {
-    /** One final outcome for each call taken, in time, and nothing sent after it. */
+    /** Each accepted call has one final outcome, in time, and no attempt follows it. */
     ONE_OUTCOME,
-    /** Never two attempts outstanding. */
+    /** A call never has two outstanding attempts. */
     ONE_ATTEMPT,
-    /** Nothing new to an exchange past the grace after word of its drain. */
+    /**
+     * No set-up is sent to an exchange after the grace time that follows the notice of its drain.
+     */
     DRAINS_KEPT,
-    /** A cold processor is not pushed over. */
+    /** A cold processor does not receive more set-ups than it withstands. */
     COLD_SPARED,
-    /** The release guard is awaited. */
+    /** After an uncertain end of an attempt, the next one waits for the guard time. */
     RELEASE_AWAITED
   }
 
-  /** Counts one thing that a rule was applied to. */
+  /** Counts one check of a rule. */
   void countCheck(Rule rule) {
     checksByRule.merge(rule, 1L, Long::sum);
   }
 
-  /** Writes a breach down. */
+  /** Records a breach of a rule. */
   void addBreach(Rule rule, String text) {
     breachesByRule.merge(rule, 1L, Long::sum);
     List<String> texts = textsByRule.computeIfAbsent(rule, r -> new ArrayList<>());
@@ -41,22 +43,22 @@
     }
   }
 
-  /** Breaches of a rule. */
+  /** Number of breaches of a rule. */
   public long breachCount(Rule rule) {
     return breachesByRule.getOrDefault(rule, 0L);
   }
 
-  /** Breaches of all rules. */
+  /** Number of breaches of all rules. */
   public long breachCount() {
     return breachesByRule.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** How often a rule was applied. */
+  /** Number of checks of a rule. */
   public long checkCount(Rule rule) {
     return checksByRule.getOrDefault(rule, 0L);
   }
 
-  /** The first breaches of a rule, in words. */
+  /** Descriptions of the first breaches of a rule. */
   public List<String> breachTexts(Rule rule) {
     return textsByRule.getOrDefault(rule, List.of());
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Scenario.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Scenario.java
@@ -3,14 +3,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * A scripted day.
+ * A scripted rehearsal.
  *
  * @param name its name on the command line
- * @param description one line on what it holds
- * @param fleetConfig the fleet
- * @param durationMillis time in which calls begin, ms
- * @param load the calls, given the seed
- * @param script what befalls the fleet
+ * @param description a description in one line
+ * @param fleetConfig the configuration of the fleet
+ * @param durationMillis period in which calls are made, ms
+ * @param load creates the generator of calls from a seed
+ * @param script schedules what happens to the fleet
  */
 public record Scenario(
     String name,
--- a/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The days of the embedded kit. */
+/** The scenarios of the rehearsals. */
 public final class Scenarios {
   private static final String DIRECTORY_NODE = "list";
 
   private Scenarios() {}
 
-  /** All days by name. */
+  /** The scenarios that are played by name alone. */
   public static Map<String, Scenario> all() {
     Map<String, Scenario> scenarios = new LinkedHashMap<>();
     for (Scenario scenario : new Scenario[] {quiet(), badDay(), tenThousand()}) {
@@ -20,7 +20,7 @@
     return scenarios;
   }
 
-  /** A day without troubles. */
+  /** A scenario without faults. */
   public static Scenario quiet() {
     FleetConfig config = FleetConfig.eightExchanges();
     return new Scenario(
@@ -32,7 +32,7 @@
         (network, fleet) -> {});
   }
 
-  /** Everything at once: the day that users remember. */
+  /** Surges and most kinds of faults, which overlap. */
   public static Scenario badDay() {
     FleetConfig config = FleetConfig.eightExchanges();
     return new Scenario(
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Ten thousand calls and more, with troubles drawn from the seed all along. */
+  /** More than ten thousand calls, with random faults throughout. */
   public static Scenario tenThousand() {
     FleetConfig config = FleetConfig.eightExchanges();
     return new Scenario(
@@ -97,7 +97,7 @@
         (network, fleet) -> scheduleRandomFaults(network, fleet, 5, 180_000));
   }
 
-  /** A small day for thousands of seeds: four exchanges, 12 s, troubles drawn from the seed. */
+  /** A short scenario for sweeps over thousands of seeds, which determine its faults. */
   public static Scenario small(long seed) {
     FleetConfig config = FleetConfig.eightExchanges().withSize(4, 5);
     return new Scenario(
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Controllers that are killed and started again: at boundaries of their messages and writes,
-   * between events, one by one and all at once, with disks that fail among them.
+   * Controllers that are killed and restarted, at boundaries of their messages and writes or
+   * between events, one by one or all at once; some disks fail as well.
    */
   public static Scenario restarts(long seed) {
     FleetConfig config = FleetConfig.eightExchanges().withSize(4, 6);
@@ -125,7 +125,7 @@
         (network, fleet) -> scheduleRandomKills(network, fleet, seed, 11_000));
   }
 
-  /** A quiet day of some hundred calls, to be killed at each of its boundaries in turn. */
+  /** Some hundred calls without faults, to be played with a kill at each boundary in turn. */
   public static Scenario boundaries() {
     FleetConfig config = FleetConfig.eightExchanges().withSize(3, 7);
     return new Scenario(
@@ -141,18 +141,18 @@
     SplittableRandom random = new SplittableRandom(seed ^ 0xdead);
     for (double time = 1_000; time < until; time += 200 + random.nextDouble() * 1_500) {
       int exchange = random.nextInt(fleet.config().exchangeCount());
-      int boundary = 1 + random.nextInt(60);
+      int boundaries = 1 + random.nextInt(60);
       double downtimeMillis = 5 + random.nextDouble() * 900;
       int kind = random.nextInt(8);
       network.schedule(
           time,
           DIRECTORY_NODE,
-          () -> injectKill(network, fleet, exchange, boundary, downtimeMillis, kind));
+          () -> injectKill(network, fleet, exchange, boundaries, downtimeMillis, kind));
     }
   }
 
   private static void injectKill(
-      Network network, Fleet fleet, int exchange, int boundary, double downtimeMillis, int kind) {
+      Network network, Fleet fleet, int exchange, int boundaries, double downtimeMillis, int kind) {
     ControllerRestarts restarts = fleet.restarts();
     restarts.setDowntimeMillis(downtimeMillis);
     switch (kind) {
@@ -169,11 +169,11 @@
             DIRECTORY_NODE,
             () -> restarts.setDiskFailing(exchange, false));
       }
-      default -> restarts.killAfterBoundaries(exchange, boundary);
+      default -> restarts.killAfterBoundaries(exchange, boundaries);
     }
   }
 
-  /** One trouble every second or two, of any kind, at any exchange; they overlap. */
+  /** Schedules a random fault at a random exchange every 0.7 to 2.5 seconds; faults overlap. */
   private static void scheduleRandomFaults(Network network, Fleet fleet, long seed, double until) {
     SplittableRandom random = new SplittableRandom(seed ^ 0x5eed);
     for (double time = 1_500; time < until; time += 700 + random.nextDouble() * 1_800) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
@@ -12,8 +12,8 @@
 import java.util.function.LongFunction;
 
 /**
- * Plays many days in virtual time, one after the other on each processor of the machine: a seed
- * each, or one day with a kill at each boundary.
+ * Plays many scenarios in virtual time on several threads: one for each seed, or the same scenario
+ * with a kill at each boundary.
  */
 public final class SeedSweep {
   private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
@@ -24,19 +24,19 @@
   private final AtomicInteger runCount = new AtomicInteger();
 
   /**
-   * A seed whose day broke a rule, lost a call, or threw.
+   * A run that broke a rule, lost a call or threw an exception.
    *
-   * @param seed the seed
-   * @param description what came of it
+   * @param seed the seed or the number of the boundary
+   * @param description what failed
    */
   public record FailedRun(long seed, String description) {}
 
-  /** Makes a sweep of what is played for each number. */
+  /** Creates a sweep; the runner plays one seed or boundary. */
   private SeedSweep(LongFunction<Rehearsal.Result> scenarioRunner) {
     this.scenarioRunner = scenarioRunner;
   }
 
-  /** A sweep over the day of each seed. */
+  /** A sweep over the scenario of each seed. */
   public static SeedSweep ofScenarios(LongFunction<Scenario> scenarioOf, FaultInjection faults) {
     return new SeedSweep(
         seed -> {
@@ -46,17 +46,21 @@
         });
   }
 
-  /** A sweep over seeds whose controllers are killed and whose disks fail as the seed draws. */
+  /** A sweep over seeds that determine when controllers are killed and disks fail. */
   public static SeedSweep ofRestarts() {
     return new SeedSweep(seed -> playWithKillAt(Scenarios.restarts(seed), seed, -1));
   }
 
-  /** A sweep over one day that is played with a kill at each boundary, by its number. */
+  /** A sweep over the boundaries of one scenario, with a kill at each by its number. */
   public static SeedSweep ofBoundaries(Scenario scenario, long seed) {
     return new SeedSweep(boundary -> playWithKillAt(scenario, seed, boundary));
   }
 
-  /** Plays a day whose controllers keep their calls; a kill at a boundary, or at none. */
+  /**
+   * Plays a scenario whose controllers persist their calls.
+   *
+   * @param boundary number of the boundary at which a controller is killed; -1: none
+   */
   public static Rehearsal.Result playWithKillAt(Scenario scenario, long seed, long boundary) {
     try (SimulatedNetwork network = new SimulatedNetwork(seed)) {
       ControllerRestarts restarts = new ControllerRestarts(network, RECOVERY_BUDGET, seed);
@@ -65,7 +69,7 @@
     }
   }
 
-  /** Plays so many seeds from the first on; returns the failing ones in order. */
+  /** Plays {@code count} seeds from the first on; returns the failed runs ordered by seed. */
   public List<FailedRun> run(long firstSeed, int count, int threads) throws InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     for (long seed = firstSeed; seed < firstSeed + count; seed++) {
@@ -97,12 +101,12 @@
     runCount.incrementAndGet();
   }
 
-  /** Calls made so far. */
+  /** Number of calls planned in the completed runs so far. */
   public long callCount() {
     return callCount.get();
   }
 
-  /** Seeds played so far. */
+  /** Number of runs so far. */
   public int runCount() {
     return runCount.get();
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ServiceReport.java
@@ -4,18 +4,21 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Service by class: the worth of calls that stood in time and were not cut, over that offered. */
+/**
+ * The service by call class: the worth earned by calls that were established and not disconnected,
+ * divided by the worth of all calls.
+ */
 public final class ServiceReport {
   private final FleetConfig config;
   private final List<CallResult> callResults;
 
-  /** Makes a report. */
+  /** Creates a report. */
   public ServiceReport(FleetConfig config, List<CallResult> callResults) {
     this.config = config;
     this.callResults = callResults;
   }
 
-  /** Share of the worth offered that was served, all classes together; NaN without calls. */
+  /** Earned share of the worth of all calls of all classes; NaN without calls. */
   public double service() {
     double offered = 0;
     double served = 0;
@@ -29,7 +32,7 @@
     return served / offered;
   }
 
-  /** Share of a class's calls, late ones by what they still earn. */
+  /** Earned share of the worth of a class's calls; calls established late earn less. */
   public double service(FleetConfig.CallClassConfig callClass) {
     List<CallResult> results = resultsOf(callClass);
     return results.stream().mapToDouble(result -> earnedShare(callClass, result)).sum()
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedDisk.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedDisk.java
@@ -11,9 +11,10 @@
 import java.util.function.Consumer;
 
 /**
- * A controller's disk in virtual time. A sync takes time and takes what waits with it; a crash
- * loses what was not safe, but for a part from the first on that the seed draws, and the record
- * after that may be torn. It can be made to fail, and then works again only when told.
+ * A controller's disk in virtual time. A sync takes time and covers all changes that were made
+ * before it completes. A crash loses the pending changes except for a random number of the first
+ * ones, and the record after these may be damaged. The disk can be made to fail and then works
+ * again only on command.
  */
 public final class SimulatedDisk implements CallStore {
   private static final double RECREATE_DELAY_MILLIS = 500;
@@ -35,15 +36,15 @@
   private int incarnation;
   private List<String> damagedRecords = List.of();
 
-  /** A change; no call means that it is forgotten. */
+  /** A change of a record; a null call removes it. */
   private record Change(String id, SavedCall call) {}
 
   /**
-   * Makes an empty disk.
+   * Creates an empty disk.
    *
-   * @param minSyncMillis least time of a sync, ms
-   * @param maxSyncMillis longest time of a sync, ms
-   * @param boundary runs before and after a sync takes effect, where a script may end the process
+   * @param minSyncMillis minimum duration of a sync, ms
+   * @param maxSyncMillis maximum duration of a sync, ms
+   * @param boundary runs before and after a sync takes effect; may throw to crash the process there
    */
   public SimulatedDisk(
       SplittableRandom random, double minSyncMillis, double maxSyncMillis, Runnable boundary) {
@@ -53,7 +54,7 @@
     this.boundary = boundary;
   }
 
-  /** Puts it into the machine that uses it from now on; that one's timers are gone with it. */
+  /** Attaches the disk to the host whose timers it uses from now on. */
   public void attachTo(SipHost newHost) {
     host = newHost;
   }
@@ -97,7 +98,7 @@
     callbacks.forEach(whenSynced -> whenSynced.accept(succeeded));
   }
 
-  /** Makes all safe that was put, as happens a little later to what nobody waits for. */
+  /** Makes all pending changes durable, as happens eventually without a sync, too. */
   public void flush() {
     pendingChanges.forEach(this::apply);
     pendingChanges.clear();
@@ -111,7 +112,7 @@
     }
   }
 
-  /** Makes it fail from now on, or work again: then all is put once more. */
+  /** Makes the disk fail, or work again, upon which all calls are stored again. */
   public void setFailing(boolean failing) {
     this.failing = failing;
     if (!failing && failed && host != null) {
@@ -128,7 +129,7 @@
     outOfDate = false;
   }
 
-  /** The machine stops at once. */
+  /** Crashes the host of the disk. */
   public void crash() {
     host = null;
     int survivors = pendingChanges.isEmpty() ? 0 : random.nextInt(pendingChanges.size() + 1);
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
@@ -16,8 +16,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A simulated network in virtual time: delays, loss, repeats, overtaking, connections that break,
- * nodes that freeze. Everything random comes from the seed, so a run replays to the same byte.
+ * A simulated network in virtual time, with delays, loss, duplication, reordering, connection
+ * resets and frozen nodes. All random choices depend on the seed, so that a run can be repeated
+ * exactly.
  */
 public final class SimulatedNetwork implements Network {
   private static final int PORT = 5060;
@@ -32,24 +33,24 @@
   private Consumer<String> onCrash = node -> {};
   private int nextPort = 20_000;
 
-  /** Makes an empty network. */
+  /** Creates an empty network. */
   public SimulatedNetwork(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  /** Thrown at a boundary to end a node's process there: nothing after it happens in it. */
+  /** Thrown at a boundary to end a node's process at that point. */
   public static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String node;
 
-    /** Makes a crash of a node. */
+    /** Creates a crash of a node. */
     public Crash(String node) {
       super(node + " crashes", null, false, false);
       this.node = node;
     }
   }
 
-  /** One node with its address and connections. */
+  /** A node with its address and connections. */
   private final class Node implements SipHost {
     private final String name;
     private final String host;
@@ -71,9 +72,9 @@
     }
 
     @Override
-    public Timer schedule(double delay, Runnable task) {
+    public Timer schedule(double delayMillis, Runnable task) {
       FreezableTimer timer = new FreezableTimer(this, task);
-      timer.scheduled = virtualTime.schedule(virtualTime.now() + delay, timer);
+      timer.scheduled = virtualTime.schedule(virtualTime.now() + delayMillis, timer);
       return timer;
     }
 
@@ -116,7 +117,7 @@
       }
     }
 
-    /** Runs a task now, or once the node thaws. */
+    /** Runs a task now or, if the node is frozen, at the end of that. */
     void whenThawed(Runnable task) {
       if (virtualTime.now() < frozenUntil) {
         virtualTime.schedule(frozenUntil, () -> whenThawed(task));
@@ -126,7 +127,9 @@
     }
   }
 
-  /** A timer of a node, held back while it is frozen. */
+  /**
+   * A timer of a node; it is delayed while the node is frozen and void after the node's restart.
+   */
   private static final class FreezableTimer implements Runnable, SipHost.Timer {
     private final Node node;
     private final int incarnation;
@@ -158,7 +161,7 @@
     }
   }
 
-  /** A stream connection; each side knows the other by an address. */
+  /** A stream connection; each end knows its peer by an address. */
   private static final class Connection {
     private final Node[] ends;
     private final Hop[] peers;
@@ -182,7 +185,8 @@
   }
 
   @Override
-  public <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory) {
+  public <N extends SipNode> N addNode(
+      String name, String threadName, Function<SipHost, N> factory) {
     reserveAddress(name);
     Node node = nodesByName.get(name);
     N element = factory.apply(node);
@@ -192,22 +196,25 @@
   }
 
   /**
-   * Names who is told at each message of a node, before it is sent and after it was taken, and may
-   * throw a {@link Crash} there; and who is told of a node that crashed so, and was killed.
+   * Sets the listeners of boundaries and crashes. Both receive the name of the node.
+   *
+   * @param listener called before a node sends a message and after it received one; may throw a
+   *     {@link Crash}
+   * @param crashListener called after a node that crashed was killed
    */
   public void onBoundary(Consumer<String> listener, Consumer<String> crashListener) {
     onBoundary = listener;
     onCrash = crashListener;
   }
 
-  /** Kills a node: its timers, connections and memory are gone, and it hears nothing. */
+  /** Kills a node: it loses its timers and connections and receives nothing. */
   public void kill(String name) {
     recorder.recordNote(virtualTime.now(), name, "killed");
     setReachable(name, false);
     nodesByName.get(name).incarnation++;
   }
 
-  /** Starts a node that was killed, with nothing but what its maker knows. */
+  /** Restarts a node that was killed as a new element that the factory creates. */
   public <N extends SipNode> N restartNode(String name, Function<SipHost, N> factory) {
     recorder.recordNote(virtualTime.now(), name, "started");
     Node node = nodesByName.get(name);
@@ -215,7 +222,7 @@
     return addNode(name, "", factory);
   }
 
-  // ---- The wire -----------------------------------------------------------------------------
+  // ---- Messages -----------------------------------------------------------------------------
 
   private double randomDelay() {
     return conditions.minDelayMillis()
@@ -249,12 +256,14 @@
       return;
     }
     int side = connection.ends[0] == from ? 0 : 1;
-    Connection open = connection;
-    Node target = open.ends[1 - side];
-    double arrivesAt = Math.max(open.lastArrival[side], virtualTime.now() + randomDelay());
-    open.lastArrival[side] = arrivesAt;
+    Connection openConnection = connection;
+    Node target = openConnection.ends[1 - side];
+    double arrivesAt =
+        Math.max(openConnection.lastArrival[side], virtualTime.now() + randomDelay());
+    openConnection.lastArrival[side] = arrivesAt;
     virtualTime.schedule(
-        arrivesAt, () -> target.whenThawed(() -> deliver(open, side, message, arrivesAt)));
+        arrivesAt,
+        () -> target.whenThawed(() -> deliver(openConnection, side, message, arrivesAt)));
   }
 
   private static void deliver(Connection connection, int side, byte[] message, double arrivesAt) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -19,7 +19,7 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 
-/** The network of one machine: every node on loopback sockets, in real time. */
+/** A network on the loopback sockets of one machine, in real time. */
 public final class SocketNetwork implements Network {
   private static final String HOST = "127.0.0.1";
   private static final int QUEUE_CAPACITY = 200_000;
@@ -33,13 +33,13 @@
   private volatile Conditions conditions = Conditions.NORMAL;
   private boolean started;
 
-  /** Makes an empty network; the seed is of what nodes draw and of what befalls datagrams. */
+  /** Creates an empty network; the seed determines random choices of nodes and of the network. */
   public SocketNetwork(long seed) throws IOException {
     this.seed = seed;
     this.sockets = new Sockets(2);
   }
 
-  /** One node: its sockets between the wire and the element, with the tap on both sides. */
+  /** A node: forwards and records the messages between its sockets and its SIP element. */
   private final class Node implements SipHost, SipNode {
     private final String name;
     private final EventLoop loop;
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public Timer schedule(double delay, Runnable task) {
-      return loop.after(delay, task)::cancel;
+    public Timer schedule(double delayMillis, Runnable task) {
+      return loop.after(delayMillis, task)::cancel;
     }
 
     @Override
@@ -86,10 +86,10 @@
       int copies = random.nextDouble() < current.lossRate() ? 0 : 1;
       copies += random.nextDouble() < current.duplicationRate() ? 1 : 0;
       for (int i = 0; i < copies; i++) {
-        double delay =
+        double delayMillis =
             current.minDelayMillis()
                 + (current.maxDelayMillis() - current.minDelayMillis()) * random.nextDouble();
-        loop.after(delay, () -> socket.send(to, message));
+        loop.after(delayMillis, () -> socket.send(to, message));
       }
     }
 
@@ -118,15 +118,17 @@
     return node(name, null).localHop(Transport.UDP);
   }
 
-  /** A node's address may be wanted before its crew is known: controllers are crews of one. */
-  private Node node(String name, String thread) {
+  /** The node with a name. If its thread is not known yet, each controller gets its own. */
+  private Node node(String name, String requestedThread) {
     Node node = nodes.get(name);
     if (node == null) {
       String threadName =
-          thread != null ? thread : name.startsWith("controller-") ? name : "standins";
+          requestedThread != null
+              ? requestedThread
+              : name.startsWith("controller-") ? name : "standins";
       EventLoop loop =
           loopsByThread.computeIfAbsent(
-              threadName, c -> new EventLoop("crew-" + c, originNanos, QUEUE_CAPACITY));
+              threadName, thread -> new EventLoop("crew-" + thread, originNanos, QUEUE_CAPACITY));
       try {
         node = new Node(name, loop);
       } catch (IOException e) {
@@ -138,8 +140,9 @@
   }
 
   @Override
-  public <N extends SipNode> N addNode(String name, String thread, Function<SipHost, N> factory) {
-    Node node = node(name, thread);
+  public <N extends SipNode> N addNode(
+      String name, String threadName, Function<SipHost, N> factory) {
+    Node node = node(name, threadName);
     N element = factory.apply(node);
     node.element = element;
     node.socket.start(node);
@@ -211,7 +214,7 @@
     return recorder;
   }
 
-  /** Tasks that the loops dropped or that threw; any is a fault of the run. */
+  /** Number of tasks that were dropped or that threw an exception; any makes the run invalid. */
   public long failedTasks() {
     return loopsByThread.values().stream()
         .mapToLong(loop -> loop.droppedTasks() + loop.failedTasks())
--- a/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
@@ -3,13 +3,13 @@
 import coveladder.sip.SipHost;
 import java.util.PriorityQueue;
 
-/** A clock that jumps from task to task. */
+/** A virtual clock and its scheduled tasks; time advances from task to task. */
 final class VirtualTime {
   private final PriorityQueue<Task> queue = new PriorityQueue<>();
   private double now;
   private long sequence;
 
-  /** A task; equal times run in the order of their asking. */
+  /** A scheduled task; tasks with equal times run in the order in which they were scheduled. */
   private static final class Task implements Comparable<Task>, SipHost.Timer {
     private final double time;
     private final long order;
@@ -43,7 +43,7 @@
     return task;
   }
 
-  /** Runs the next task if it is due by then; whether there was one. */
+  /** Runs the next task if it is due by the given time; returns whether there was one. */
   boolean runNext(double until) {
     Task task = queue.peek();
     if (task == null || task.time > until) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * A message as the checker reads it, by code of its own: the product's parser must not judge
- * itself.
+ * A SIP message as the checker parses it. The checker has a parser of its own so that a fault in
+ * the controllers' parser cannot hide itself.
  */
 final class WireMessage {
   private static final Map<String, String> COMPACT =
@@ -26,7 +26,7 @@
     this.body = body;
   }
 
-  /** Reads a message; null where it is none. */
+  /** Parses a message; null if it is not a SIP message. */
   static WireMessage parse(byte[] bytes) {
     String text = new String(bytes, StandardCharsets.ISO_8859_1);
     int headEnd = text.indexOf("\r\n\r\n");
@@ -77,7 +77,7 @@
     return header("call-id");
   }
 
-  /** Method that a response answers, or of the request itself. */
+  /** Method of the CSeq: of the request itself or of the request that a response answers. */
   String cseqMethod() {
     String[] parts = header("cseq").split("\\s+");
     return parts.length < 2 ? "" : parts[1];
@@ -100,7 +100,7 @@
     return header("via").split("[ ;,]")[1];
   }
 
-  /** Whether it came by UDP, as its topmost Via says. */
+  /** Whether the message was sent over UDP, according to its topmost Via. */
   boolean isUdp() {
     return header("via").startsWith("SIP/2.0/UDP");
   }
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One real controller between a caller and a switch that a test plays by hand. */
+/** A real controller between a caller and a switch whose messages a test determines. */
 final class ControllerHarness {
   static final double SYNC_MILLIS = 1;
 
@@ -37,7 +37,7 @@
     this(switchTransport, false);
   }
 
-  /** Makes a bed whose controller keeps its calls, or does not. */
+  /** Creates a harness whose controller persists its calls or does not. */
   ControllerHarness(Transport switchTransport, boolean persistent) {
     this.persistent = persistent;
     controllerAddress = network.reserveAddress("controller");
@@ -78,7 +78,7 @@
     return (long) (network.now() + clockStepMillis);
   }
 
-  /** Kills the controller and starts it again from what was safe; the list comes anew. */
+  /** Kills the controller, restarts it from its durable records and updates its directory. */
   void restart(double downtimeMillis) {
     network.kill("controller");
     disk.crash();
@@ -106,7 +106,7 @@
     network.runUntil(network.now() + durationMillis, () -> false);
   }
 
-  /** Sends the text of an INVITE from the caller by UDP; returns it. */
+  /** Sends an INVITE from the caller over UDP and returns its text. */
   String invite(String callId, int expiresSeconds) {
     String text =
         "INVITE sip:5551234@x1.example SIP/2.0\r\nVia: SIP/2.0/UDP "
@@ -127,7 +127,7 @@
     return text;
   }
 
-  /** A request of the caller within its call, or the CANCEL of it. */
+  /** Sends a request of the caller within its call, or the CANCEL of the call. */
   void sendFromCaller(String method, String callId, int cseqNumber, String toTag) {
     String to = "To: <sip:5551234@x1.example>" + (toTag.isEmpty() ? "" : ";tag=" + toTag);
     String branch = method.equals("CANCEL") ? callId : callId + method + cseqNumber;
@@ -149,7 +149,7 @@
             + "\r\nContent-Length: 0\r\n\r\n");
   }
 
-  /** INVITEs of attempts that the switch read, repeats left out. */
+  /** The INVITEs of attempts that the switch received, without retransmissions. */
   List<RawNode.Read> attempts() {
     List<String> seen = new ArrayList<>();
     List<RawNode.Read> found = new ArrayList<>();
@@ -162,7 +162,7 @@
     return found;
   }
 
-  /** Final answers to the caller's INVITE, repeats left out. */
+  /** Status codes of the final responses to the caller's INVITEs, without repetitions. */
   List<String> finalAnswers() {
     return caller.reads.stream()
         .filter(read -> read.startsWith("SIP/2.0 ") && !read.startsWith("SIP/2.0 1"))
@@ -176,7 +176,7 @@
     return caller.lastStartingWith("SIP/2.0").header("To").replaceAll(".*;tag=", "");
   }
 
-  /** Answers an attempt with 200 and lets the caller acknowledge it. */
+  /** Answers an attempt with 200, which the caller acknowledges. */
   void establish(RawNode.Read attempt, String callId) {
     localSwitch.respond(attempt, "200 OK", "far", "");
     runFor(10);
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Crossing, repeated, late and broken signalling around one controller. */
+/** Crossing, retransmitted, late and malformed messages around one controller. */
 class HardCasesTest {
   private static final String NO_CIRCUIT_REASON = "Reason: Q.850;cause=34\r\n";
   private static final String TURNED_BACK_REASON = "Reason: Q.850;cause=34;location=TN\r\n";
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -18,7 +18,7 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** Each rule broken on purpose must turn the checker red; the same day unbroken is green. */
+/** The checker detects a breach of each rule, and finds none without a mutation. */
 class MutationTest {
   private static final long SEED = 11;
 
@@ -105,7 +105,7 @@
     }
   }
 
-  /** A short day with a drain, a cold start, resets and a surge. */
+  /** A short scenario with a drain, a cold start, resets and a surge. */
   private static Scenario scenario() {
     FleetConfig config = FleetConfig.eightExchanges().withSize(4, 6);
     return new Scenario(
@@ -141,7 +141,7 @@
         host, FaultInjection.NONE.policyFactory(), FaultInjection.NONE.guardFactory());
   }
 
-  /** Sees each message and may send more of its own. */
+  /** Calls a handler after each message that is sent; the handler may send further messages. */
   private static FaultInjection onSend(
       BiConsumer<String, java.util.function.Consumer<String>> onMessage) {
     return withHostWrapper(
@@ -157,7 +157,7 @@
             });
   }
 
-  /** A world that passes everything on. */
+  /** A host that forwards everything. */
   private static class ForwardingHost implements SipHost {
     private final SipHost host;
 
@@ -191,7 +191,7 @@
     }
   }
 
-  /** A policy that passes everything on to the sound one. */
+  /** A policy that forwards everything to the real one. */
   private static class ForwardingPolicy implements CallPolicy {
     final CallPolicy delegate;
     final Actions actions;
@@ -247,7 +247,7 @@
     }
   }
 
-  /** Sends again the moment that an attempt was reset. */
+  /** Retries immediately after an attempt was reset. */
   private static final class ImmediateRetryPolicy extends ForwardingPolicy {
     ImmediateRetryPolicy(Settings settings, long seed, Actions actions) {
       super(settings, seed, actions);
@@ -263,7 +263,7 @@
     }
   }
 
-  /** Takes drains for service. */
+  /** Treats draining exchanges as being in service. */
   private static final class DrainIgnoringPolicy extends ForwardingPolicy {
     DrainIgnoringPolicy(Settings settings, long seed, Actions actions) {
       super(settings, seed, actions);
--- a/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node that does just what a test says: it keeps what it reads and sends text as it is. */
+/** A node controlled by a test: records what it receives and sends text unchanged. */
 final class RawNode implements SipNode {
   final SipHost host;
   final List<Read> reads = new ArrayList<>();
@@ -56,7 +56,7 @@
     host.send(to, text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Answers a request as it was read; more is put behind the usual fields. */
+  /** Responds to a request; the extra headers follow the usual ones, each ending in CRLF. */
   void respond(Read request, String status, String tag, String extraHeaders) {
     String to = request.header("To");
     StringBuilder response = new StringBuilder("SIP/2.0 ").append(status).append("\r\n");
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that are killed in virtual time; all boundaries and thousands of seeds: the kit. */
+/**
+ * Controllers that are killed in virtual time, at some boundaries and for some seeds; the rehearse
+ * command plays all boundaries and thousands of seeds.
+ */
 class RestartSweepTest {
   private static final int THREADS = Runtime.getRuntime().availableProcessors();
   private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
@@ -28,13 +31,14 @@
   }
 
   /**
-   * Seeds that broke a rule or left circuits busy once: an answer to a CANCEL that was not kept
-   * (10), a second attempt after a disk had failed and the next life too ended at once (12, 221), a
-   * 503 after a 200 that had not been kept (16), CSeq numbers used by the life before (31), an ACK
-   * before the call was kept (41), a BYE lost with the process that sent it (106), an answer
-   * waiting for the disk while the caller called off (189); among 10,000: an answer kept but not
-   * sent left after the caller's time (2795, 4201, 7359, 7987, 8368, 9991), an INVITE of before a
-   * disk failed came again after seconds (1568, 3791) or found nobody to answer it (7009, 7552).
+   * Seeds that broke a rule or left circuits busy before: an answer to a CANCEL was not stored
+   * (10); a second attempt was sent after a disk had failed and the restarted controller crashed at
+   * once, too (12, 221); a 503 followed a 200 that had not been stored (16); CSeq numbers were
+   * reused after a restart (31); an ACK arrived before the call was stored (41); a BYE was lost
+   * with the process that sent it (106); the caller cancelled while an answer waited for the disk
+   * (189). Among 10,000 seeds: an answer that was stored but not sent was sent after the end of the
+   * caller's patience (2795, 4201, 7359, 7987, 8368, 9991); an INVITE from before a disk failure
+   * was retransmitted seconds later (1568, 3791) or was never answered (7009, 7552).
    */
   @ParameterizedTest
   @ValueSource(
@@ -76,9 +80,9 @@
     assertEquals(0, result.restarts().killCount());
   }
 
-  // ---- Mutations: the checker goes red --------------------------------------------------------
+  // ---- Mutations that the checker detects -----------------------------------------------------
 
-  /** A store that passes everything on, for mutants to change one thing of. */
+  /** A store that forwards everything; mutations override one method. */
   private static class ForwardingStore implements CallStore {
     final CallStore delegate;
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One controller that is killed around a call, between a caller and a switch played by hand. */
+/** A controller that is killed and restarted at various points of a call. */
 class RestartTest {
   private final ControllerHarness harness = new ControllerHarness(Transport.UDP, true);
 
@@ -105,7 +105,7 @@
     assertEquals(List.of("503"), harness.finalAnswers());
   }
 
-  /** The clock stands an hour before the crash: the caller cannot be known to wait still. */
+  /** After the restart the clock is an hour behind: the caller may no longer be waiting. */
   @Test
   void noCallerIsAnsweredIfTheClockWasSetBack() {
     harness.invite("c1", 4);
@@ -147,7 +147,7 @@
     assertEquals(List.of("503"), harness.finalAnswers());
   }
 
-  /** Both ends are starting too: each is asked three times before the call is let go. */
+  /** The ends may be restarting, too: each is asked three times before the call is released. */
   @Test
   void unreachableEndsAreVerifiedAgainAndThenReleased() {
     establishCall();
@@ -178,7 +178,7 @@
     assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
-  /** Both ends say that they hold the call; the last request that was answered. */
+  /** Both ends confirm a request with 200; returns the one sent to the switch. */
   private RawNode.Read respondToBothEnds(String method, double durationMillis) {
     harness.runFor(1_000);
     RawNode.Read remoteRequest = harness.localSwitch.lastStartingWith(method);
--- a/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/SeedSweepTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Some hundreds of seeds of the small bad day in virtual time; thousands are the kit's matter. */
+/** 300 seeds of the small scenario in virtual time; the rehearse command plays thousands. */
 class SeedSweepTest {
 
   @Test
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Seeds that failed once, by an answer after the caller's patience. In the two that were traced a
-   * controller stood still over its end, which the checker took for one that runs.
+   * Seeds that failed before by an answer after the end of the caller's patience. In the two that
+   * were analysed, a controller was frozen at that time, and the checker did not allow for it.
    */
   @ParameterizedTest
   @ValueSource(
