--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
@@ -86,12 +86,12 @@
     }
   }
 
-  /** Kills whichever controller reaches this boundary, counted over all from the start. */
+  /** Sets the boundary, counted over all controllers, at which one is killed; -1: none. */
   public void killAtBoundary(long boundary) {
     killAtBoundary = boundary;
   }
 
-  /** Kills a controller at the last of its given number of boundaries from now on. */
+  /** Kills a controller at its boundary number {@code boundaries}, counted from now on. */
   public void killAfterBoundaries(int exchange, int boundaries) {
     boundariesUntilKill.put(Fleet.controllerName(exchange), boundaries);
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/Network.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Network.java
@@ -20,7 +20,7 @@
   <N extends SipNode> N addNode(String name, String threadName, Function<SipHost, N> factory);
 
   /** Runs an action on a node's thread at a clock time in milliseconds. */
-  void schedule(double time, String name, Runnable action);
+  void schedule(double timeMillis, String name, Runnable action);
 
   /** Freezes a node for a time in milliseconds: messages and timers wait until its end. */
   void freeze(String name, double durationMillis);
@@ -35,7 +35,7 @@
   void setConditions(Conditions conditions);
 
   /** Runs until a clock time in milliseconds or until {@code done}, whichever is earlier. */
-  void runUntil(double until, BooleanSupplier done);
+  void runUntil(double untilMillis, BooleanSupplier done);
 
   /** Time since the start of the network, ms. */
   double now();
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -8,9 +8,16 @@
 
 /** Plays a scenario on a network and checks the rules. */
 public final class Rehearsal {
-  private static final double SETTLE_MILLIS = 45_000;
+  /** Maximum time for the calls to end after the last one was made. */
+  private static final double MAX_SETTLE_MILLIS = 45_000;
+
+  /** Tolerated delay of a final answer after the end of the caller's patience. */
   private static final double ANSWER_SLACK_MILLIS = 60;
+
+  /** Time within which a restarted controller answers callers from before the restart. */
   private static final double RECOVERY_MILLIS = 500;
+
+  /** Time for restarted controllers to release calls whose other end no longer exists. */
   private static final double RECOVERY_RELEASE_MILLIS = 70_000;
 
   private Rehearsal() {}
@@ -80,11 +87,11 @@
       ControllerRestarts restarts) {
     Fleet fleet = new Fleet(network, scenario.fleetConfig(), seed, faults, restarts);
     List<PlannedCall> plannedCalls =
-        scenario.load().apply(seed).generateUntil(scenario.durationMillis());
+        scenario.loadFactory().apply(seed).generateUntil(scenario.durationMillis());
     fleet.setPlannedCalls(plannedCalls);
     scenario.script().accept(network, fleet);
     network.runUntil(
-        scenario.durationMillis() + SETTLE_MILLIS,
+        scenario.durationMillis() + MAX_SETTLE_MILLIS,
         () -> network.now() > scenario.durationMillis() && fleet.callers().isDone());
     network.runUntil(
         network.now() + (restarts == null ? 2_000 : RECOVERY_RELEASE_MILLIS), () -> false);
--- a/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/RuleReport.java
@@ -19,9 +19,7 @@
     ONE_OUTCOME,
     /** A call never has two outstanding attempts. */
     ONE_ATTEMPT,
-    /**
-     * No set-up is sent to an exchange after the grace time that follows the notice of its drain.
-     */
+    /** No set-up is sent to an exchange after the grace time of its drain. */
     DRAINS_KEPT,
     /** A cold processor does not receive more set-ups than it withstands. */
     COLD_SPARED,
--- a/rehearsal/src/main/java/coveladder/rehearsal/Scenario.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Scenario.java
@@ -9,7 +9,7 @@
  * @param description a description in one line
  * @param fleetConfig the configuration of the fleet
  * @param durationMillis period in which calls are made, ms
- * @param load creates the generator of calls from a seed
+ * @param loadFactory creates the generator of calls from a seed
  * @param script schedules what happens to the fleet
  */
 public record Scenario(
@@ -17,5 +17,5 @@
     String description,
     FleetConfig fleetConfig,
     double durationMillis,
-    java.util.function.LongFunction<LoadGenerator> load,
+    java.util.function.LongFunction<LoadGenerator> loadFactory,
     BiConsumer<Network, Fleet> script) {}
--- a/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
@@ -7,6 +7,7 @@
 
 /** The scenarios of the rehearsals. */
 public final class Scenarios {
+  /** The node on whose thread all actions on stand-ins run. */
   private static final String DIRECTORY_NODE = "list";
 
   private Scenarios() {}
@@ -137,9 +138,10 @@
         (network, fleet) -> {});
   }
 
-  private static void scheduleRandomKills(Network network, Fleet fleet, long seed, double until) {
+  private static void scheduleRandomKills(
+      Network network, Fleet fleet, long seed, double untilMillis) {
     SplittableRandom random = new SplittableRandom(seed ^ 0xdead);
-    for (double time = 1_000; time < until; time += 200 + random.nextDouble() * 1_500) {
+    for (double time = 1_000; time < untilMillis; time += 200 + random.nextDouble() * 1_500) {
       int exchange = random.nextInt(fleet.config().exchangeCount());
       int boundaries = 1 + random.nextInt(60);
       double downtimeMillis = 5 + random.nextDouble() * 900;
@@ -174,9 +176,10 @@
   }
 
   /** Schedules a random fault at a random exchange every 0.7 to 2.5 seconds; faults overlap. */
-  private static void scheduleRandomFaults(Network network, Fleet fleet, long seed, double until) {
+  private static void scheduleRandomFaults(
+      Network network, Fleet fleet, long seed, double untilMillis) {
     SplittableRandom random = new SplittableRandom(seed ^ 0x5eed);
-    for (double time = 1_500; time < until; time += 700 + random.nextDouble() * 1_800) {
+    for (double time = 1_500; time < untilMillis; time += 700 + random.nextDouble() * 1_800) {
       int exchange = random.nextInt(fleet.config().exchangeCount());
       scheduleRandomFault(network, fleet, random, time, exchange);
     }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
@@ -303,8 +303,8 @@
   // ---- Faults -------------------------------------------------------------------------------
 
   @Override
-  public void schedule(double time, String name, Runnable action) {
-    virtualTime.schedule(time, action);
+  public void schedule(double timeMillis, String name, Runnable action) {
+    virtualTime.schedule(timeMillis, action);
   }
 
   @Override
@@ -336,15 +336,15 @@
   // ---- Time ---------------------------------------------------------------------------------
 
   @Override
-  public void runUntil(double until, BooleanSupplier done) {
-    while (!done.getAsBoolean() && step(until)) {
+  public void runUntil(double untilMillis, BooleanSupplier done) {
+    while (!done.getAsBoolean() && step(untilMillis)) {
       continue;
     }
   }
 
-  private boolean step(double until) {
+  private boolean step(double untilMillis) {
     try {
-      return virtualTime.runNext(until);
+      return virtualTime.runNext(untilMillis);
     } catch (Crash crash) {
       kill(crash.node);
       onCrash.accept(crash.node);
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -152,9 +152,9 @@
   // ---- Faults -------------------------------------------------------------------------------
 
   @Override
-  public void schedule(double time, String name, Runnable action) {
+  public void schedule(double timeMillis, String name, Runnable action) {
     EventLoop loop = nodes.get(name).loop;
-    loop.offer(() -> loop.after(time - loop.now(), action));
+    loop.offer(() -> loop.after(timeMillis - loop.now(), action));
   }
 
   @Override
@@ -190,13 +190,13 @@
   // ---- Time ---------------------------------------------------------------------------------
 
   @Override
-  public void runUntil(double until, BooleanSupplier done) {
+  public void runUntil(double untilMillis, BooleanSupplier done) {
     if (!started) {
       started = true;
       loopsByThread.values().forEach(EventLoop::start);
     }
     try {
-      while (now() < until && !done.getAsBoolean()) {
+      while (now() < untilMillis && !done.getAsBoolean()) {
         Thread.sleep(20);
       }
     } catch (InterruptedException e) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
@@ -44,10 +44,10 @@
   }
 
   /** Runs the next task if it is due by the given time; returns whether there was one. */
-  boolean runNext(double until) {
+  boolean runNext(double untilMillis) {
     Task task = queue.peek();
-    if (task == null || task.time > until) {
-      now = Math.max(now, until);
+    if (task == null || task.time > untilMillis) {
+      now = Math.max(now, untilMillis);
       return false;
     }
     queue.poll();
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A real controller between a caller and a switch whose messages a test determines. */
+/** A real controller between a caller and a switch that a test controls. */
 final class ControllerHarness {
   static final double SYNC_MILLIS = 1;
 
@@ -150,13 +150,13 @@
   }
 
   /** The INVITEs of attempts that the switch received, without retransmissions. */
-  List<RawNode.Read> attempts() {
+  List<RawNode.Message> attempts() {
     List<String> seen = new ArrayList<>();
-    List<RawNode.Read> found = new ArrayList<>();
-    for (RawNode.Read read : localSwitch.readsStartingWith("INVITE")) {
-      if (!seen.contains(read.header("Call-ID"))) {
-        seen.add(read.header("Call-ID"));
-        found.add(read);
+    List<RawNode.Message> found = new ArrayList<>();
+    for (RawNode.Message message : localSwitch.receivedStartingWith("INVITE")) {
+      if (!seen.contains(message.header("Call-ID"))) {
+        seen.add(message.header("Call-ID"));
+        found.add(message);
       }
     }
     return found;
@@ -164,10 +164,10 @@
 
   /** Status codes of the final responses to the caller's INVITEs, without repetitions. */
   List<String> finalAnswers() {
-    return caller.reads.stream()
-        .filter(read -> read.startsWith("SIP/2.0 ") && !read.startsWith("SIP/2.0 1"))
-        .filter(read -> read.header("CSeq").endsWith(" INVITE"))
-        .map(read -> read.text().substring(8, 11))
+    return caller.received.stream()
+        .filter(message -> message.startsWith("SIP/2.0 ") && !message.startsWith("SIP/2.0 1"))
+        .filter(message -> message.header("CSeq").endsWith(" INVITE"))
+        .map(message -> message.text().substring(8, 11))
         .distinct()
         .toList();
   }
@@ -177,8 +177,8 @@
   }
 
   /** Answers an attempt with 200, which the caller acknowledges. */
-  void establish(RawNode.Read attempt, String callId) {
-    localSwitch.respond(attempt, "200 OK", "far", "");
+  void establish(RawNode.Message attempt, String callId) {
+    localSwitch.respond(attempt, "200 OK", "remote", "");
     runFor(10);
     sendFromCaller("ACK", callId, 1, callerTag());
     runFor(10);
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -77,17 +77,17 @@
     ControllerHarness tcp = new ControllerHarness(Transport.TCP);
     tcp.invite("c1", 4);
     tcp.runFor(20);
-    RawNode.Read attempt = tcp.attempts().get(0);
+    RawNode.Message attempt = tcp.attempts().get(0);
     tcp.network.resetConnections("switch");
     tcp.runFor(20);
-    RawNode.Read received =
-        new RawNode.Read(0, tcp.controllerAddress.withTransport(Transport.TCP), attempt.text());
-    tcp.localSwitch.respond(received, "200 OK", "far", "");
+    RawNode.Message received =
+        new RawNode.Message(0, tcp.controllerAddress.withTransport(Transport.TCP), attempt.text());
+    tcp.localSwitch.respond(received, "200 OK", "remote", "");
     tcp.runFor(50);
-    assertEquals(1, tcp.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, tcp.localSwitch.receivedStartingWith("BYE").size());
     tcp.localSwitch.respond(tcp.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
     tcp.runFor(50);
-    assertEquals(1, tcp.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(1, tcp.localSwitch.receivedStartingWith("ACK").size());
     assertEquals(List.of(), tcp.finalAnswers());
   }
 
@@ -102,7 +102,7 @@
     assertEquals(1, tcp.frontEnd.controller().callCount());
     tcp.sendFromCaller("BYE", "c1", 2, tcp.callerTag());
     tcp.runFor(50);
-    assertEquals(1, tcp.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, tcp.localSwitch.receivedStartingWith("BYE").size());
     assertEquals(0, tcp.frontEnd.controller().callCount());
   }
 
@@ -110,18 +110,18 @@
   void a200ThatCrossesTheCancelIsReleased() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.localSwitch.respond(attempt, "100 Trying", "", "");
     harness.runFor(5);
     harness.sendFromCaller("CANCEL", "c1", 1, "");
     harness.runFor(5);
-    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
-    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    assertEquals(1, harness.localSwitch.receivedStartingWith("CANCEL").size());
+    harness.localSwitch.respond(attempt, "200 OK", "remote", "");
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
     harness.localSwitch.respond(harness.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("ACK").size());
     assertEquals(List.of("487"), harness.finalAnswers());
     assertEquals(0, harness.frontEnd.controller().callCount());
   }
@@ -130,14 +130,14 @@
   void a200AfterPatienceEndedIsReleasedWithoutASecondFinalAnswer() {
     harness.invite("c1", 2);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.localSwitch.respond(attempt, "100 Trying", "", "");
     harness.runFor(2_100);
     assertEquals(1, harness.finalAnswers().size());
-    assertTrue(harness.localSwitch.readsStartingWith("CANCEL").size() >= 1);
-    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    assertTrue(harness.localSwitch.receivedStartingWith("CANCEL").size() >= 1);
+    harness.localSwitch.respond(attempt, "200 OK", "remote", "");
     harness.runFor(100);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
     assertEquals(1, harness.finalAnswers().size());
     assertEquals(0, harness.frontEnd.controller().callCount());
   }
@@ -146,11 +146,11 @@
   void aSecond200FromAForkIsReleased() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.establish(attempt, "c1");
     harness.localSwitch.respond(attempt, "200 OK", "other", "");
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
     assertTrue(harness.localSwitch.lastStartingWith("BYE").header("To").endsWith("tag=other"));
     assertEquals(1, harness.frontEnd.controller().callCount());
   }
@@ -161,10 +161,10 @@
     harness.sendFromCaller("CANCEL", "c1", 1, "");
     harness.runFor(20);
     assertEquals(List.of("487"), harness.finalAnswers());
-    assertEquals(0, harness.localSwitch.readsStartingWith("CANCEL").size());
+    assertEquals(0, harness.localSwitch.receivedStartingWith("CANCEL").size());
     harness.localSwitch.respond(harness.attempts().get(0), "180 Ringing", "t", "");
     harness.runFor(20);
-    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("CANCEL").size());
   }
 
   @Test
@@ -176,7 +176,7 @@
     harness.sendFromCaller("BYE", "c1", 2, harness.callerTag());
     harness.runFor(20);
     assertEquals(List.of("487"), harness.finalAnswers());
-    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("CANCEL").size());
   }
 
   @Test
@@ -199,14 +199,14 @@
     String tag = harness.callerTag();
     harness.sendFromCaller("INVITE", "c1", 2, tag);
     harness.runFor(20);
-    RawNode.Read reinvite = harness.localSwitch.lastStartingWith("INVITE");
-    assertTrue(reinvite.header("To").endsWith("tag=far"));
+    RawNode.Message reinvite = harness.localSwitch.lastStartingWith("INVITE");
+    assertTrue(reinvite.header("To").endsWith("tag=remote"));
     harness.localSwitch.respond(reinvite, "200 OK", "", "");
     harness.runFor(20);
     assertEquals("2 INVITE", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
     harness.sendFromCaller("ACK", "c1", 2, tag);
     harness.runFor(20);
-    assertEquals(2, harness.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(2, harness.localSwitch.receivedStartingWith("ACK").size());
     harness.sendFromCaller("INFO", "c1", 3, tag);
     harness.runFor(20);
     harness.localSwitch.respond(harness.localSwitch.lastStartingWith("INFO"), "200 OK", "", "");
@@ -218,8 +218,9 @@
   void aReliableProvisionalResponseAndItsPrackAreForwarded() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
-    harness.localSwitch.respond(attempt, "183 Progress", "far", "Require: 100rel\r\nRSeq: 777\r\n");
+    RawNode.Message attempt = harness.attempts().get(0);
+    harness.localSwitch.respond(
+        attempt, "183 Progress", "remote", "Require: 100rel\r\nRSeq: 777\r\n");
     harness.runFor(20);
     assertEquals("1", harness.caller.lastStartingWith("SIP/2.0 183").header("RSeq"));
     harness.caller.send(
@@ -230,7 +231,7 @@
             + harness.callerTag()
             + "\r\nCall-ID: c1\r\nCSeq: 2 PRACK\r\nRAck: 1 1 INVITE\r\n\r\n");
     harness.runFor(20);
-    RawNode.Read prack = harness.localSwitch.lastStartingWith("PRACK");
+    RawNode.Message prack = harness.localSwitch.lastStartingWith("PRACK");
     assertEquals("777 1 INVITE", prack.header("RAck"));
     harness.localSwitch.respond(prack, "200 OK", "", "");
     harness.runFor(20);
@@ -256,7 +257,7 @@
   void malformedMessagesAndForeignResponsesAreIgnored() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     Hop address = harness.controllerAddress;
     harness.localSwitch.send(address, "\u0000\u0001\u0002");
     harness.localSwitch.send(address, "SIP/2.0 200 OK\r\n\r\n");
@@ -276,10 +277,10 @@
       ControllerHarness single = new ControllerHarness(Transport.UDP);
       single.invite("c1", 2);
       single.runFor(20);
-      RawNode.Read attempt = single.attempts().get(0);
+      RawNode.Message attempt = single.attempts().get(0);
       single.localSwitch.respond(attempt, "100 Trying", "", "");
       single.runFor(1 + 2_000 - 20 - before);
-      single.localSwitch.respond(attempt, "200 OK", "far", "");
+      single.localSwitch.respond(attempt, "200 OK", "remote", "");
       single.runFor(100);
       assertEquals(1, single.finalAnswers().size(), "answer " + before + " ms before the end");
     }
@@ -292,7 +293,7 @@
     String challenge = "Proxy-Authenticate: Digest realm=\"x\", nonce=\"n\"\r\n";
     harness.localSwitch.respond(harness.attempts().get(0), "407 Proxy Auth", "t", challenge);
     harness.runFor(20);
-    RawNode.Read answer = harness.caller.lastStartingWith("SIP/2.0 407");
+    RawNode.Message answer = harness.caller.lastStartingWith("SIP/2.0 407");
     assertEquals("Digest realm=\"x\", nonce=\"n\"", answer.header("Proxy-Authenticate"));
     assertEquals(1, harness.attempts().size());
   }
@@ -303,7 +304,7 @@
     harness.invite("c1", 4);
     for (int i = 0; i < 8; i++) {
       harness.runFor(20);
-      for (RawNode.Read attempt : harness.attempts()) {
+      for (RawNode.Message attempt : harness.attempts()) {
         harness.localSwitch.respond(attempt, "503 Back", "t", TURNED_BACK_REASON);
       }
     }
@@ -336,7 +337,7 @@
     harness.invite("c1", 4);
     harness.runFor(20);
     harness.localSwitch.respond(
-        harness.attempts().get(0), "200 OK", "far", "Session-Expires: 90;refresher=uas\r\n");
+        harness.attempts().get(0), "200 OK", "remote", "Session-Expires: 90;refresher=uas\r\n");
     harness.runFor(10);
     harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
     harness.runFor(89_000);
@@ -345,10 +346,10 @@
     assertEquals(0, harness.frontEnd.controller().callCount());
     assertEquals(
         1,
-        harness.localSwitch.readsStartingWith("BYE").stream()
-            .map(r -> r.header("CSeq"))
+        harness.localSwitch.receivedStartingWith("BYE").stream()
+            .map(message -> message.header("CSeq"))
             .distinct()
             .count());
-    assertTrue(harness.caller.readsStartingWith("BYE").size() >= 1);
+    assertTrue(harness.caller.receivedStartingWith("BYE").size() >= 1);
   }
 }
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -136,9 +136,9 @@
     return new String(message, StandardCharsets.ISO_8859_1);
   }
 
-  private static FaultInjection withHostWrapper(UnaryOperator<SipHost> host) {
+  private static FaultInjection withHostWrapper(UnaryOperator<SipHost> hostWrapper) {
     return new FaultInjection(
-        host, FaultInjection.NONE.policyFactory(), FaultInjection.NONE.guardFactory());
+        hostWrapper, FaultInjection.NONE.policyFactory(), FaultInjection.NONE.guardFactory());
   }
 
   /** Calls a handler after each message that is sent; the handler may send further messages. */
@@ -171,8 +171,8 @@
     }
 
     @Override
-    public Timer schedule(double delay, Runnable task) {
-      return host.schedule(delay, task);
+    public Timer schedule(double delayMillis, Runnable task) {
+      return host.schedule(delayMillis, task);
     }
 
     @Override
--- a/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RawNode.java
@@ -12,14 +12,14 @@
 /** A node controlled by a test: records what it receives and sends text unchanged. */
 final class RawNode implements SipNode {
   final SipHost host;
-  final List<Read> reads = new ArrayList<>();
+  final List<Message> received = new ArrayList<>();
   final List<Failure> failures = new ArrayList<>();
 
   RawNode(SipHost host) {
     this.host = host;
   }
 
-  record Read(double receivedAt, Hop from, String text) {
+  record Message(double receivedAt, Hop from, String text) {
     String header(String name) {
       int start = text.indexOf("\r\n" + name + ": ") + name.length() + 4;
       return text.substring(start, text.indexOf("\r\n", start));
@@ -34,8 +34,8 @@
   public void start() {}
 
   @Override
-  public void receive(Hop from, byte[] message, double arrived) {
-    reads.add(new Read(host.now(), from, new String(message, StandardCharsets.ISO_8859_1)));
+  public void receive(Hop from, byte[] message, double arrivedAtMillis) {
+    received.add(new Message(host.now(), from, new String(message, StandardCharsets.ISO_8859_1)));
   }
 
   @Override
@@ -43,12 +43,12 @@
     failures.add(failure);
   }
 
-  List<Read> readsStartingWith(String prefix) {
-    return reads.stream().filter(read -> read.startsWith(prefix)).toList();
+  List<Message> receivedStartingWith(String prefix) {
+    return received.stream().filter(message -> message.startsWith(prefix)).toList();
   }
 
-  Read lastStartingWith(String prefix) {
-    List<Read> found = readsStartingWith(prefix);
+  Message lastStartingWith(String prefix) {
+    List<Message> found = receivedStartingWith(prefix);
     return found.get(found.size() - 1);
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Responds to a request; the extra headers follow the usual ones, each ending in CRLF. */
-  void respond(Read request, String status, String tag, String extraHeaders) {
+  void respond(Message request, String status, String tag, String extraHeaders) {
     String to = request.header("To");
     StringBuilder response = new StringBuilder("SIP/2.0 ").append(status).append("\r\n");
     for (String line : request.text().split("\r\n")) {
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -86,8 +86,8 @@
   private static class ForwardingStore implements CallStore {
     final CallStore delegate;
 
-    ForwardingStore(CallStore inner) {
-      this.delegate = inner;
+    ForwardingStore(CallStore delegate) {
+      this.delegate = delegate;
     }
 
     @Override
@@ -116,8 +116,8 @@
     }
 
     @Override
-    public void onRecreated(Runnable putAll) {
-      delegate.onRecreated(putAll);
+    public void onRecreated(Runnable rewriteAll) {
+      delegate.onRecreated(rewriteAll);
     }
   }
 
@@ -147,9 +147,9 @@
                 disk ->
                     new ForwardingStore(disk) {
                       @Override
-                      public void sync(Consumer<Boolean> done) {
-                        delegate.sync(well -> {});
-                        done.accept(true);
+                      public void sync(Consumer<Boolean> whenSynced) {
+                        delegate.sync(succeeded -> {});
+                        whenSynced.accept(true);
                       }
                     })
             > 0);
@@ -179,9 +179,12 @@
                     new ForwardingStore(disk) {
                       @Override
                       public Contents initialContents() {
-                        Contents found = delegate.initialContents();
+                        Contents contents = delegate.initialContents();
                         return new Contents(
-                            found.calls(), found.damagedRecords(), false, found.incarnation());
+                            contents.calls(),
+                            contents.damagedRecords(),
+                            false,
+                            contents.incarnation());
                       }
                     })
             > 0);
@@ -195,9 +198,9 @@
                     new ForwardingStore(disk) {
                       @Override
                       public Contents initialContents() {
-                        Contents found = delegate.initialContents();
+                        Contents contents = delegate.initialContents();
                         return new Contents(
-                            found.calls(), found.damagedRecords(), found.outOfDate(), 1);
+                            contents.calls(), contents.damagedRecords(), contents.outOfDate(), 1);
                       }
                     })
             > 0);
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -28,8 +28,8 @@
     assertEquals(1, harness.frontEnd.controller().callCount());
     harness.sendFromCaller("BYE", "c1", 2, tag);
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
-    assertTrue(harness.localSwitch.lastStartingWith("BYE").header("To").endsWith("tag=far"));
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
+    assertTrue(harness.localSwitch.lastStartingWith("BYE").header("To").endsWith("tag=remote"));
     assertEquals(0, harness.frontEnd.controller().callCount());
     assertEquals(List.of("200"), harness.finalAnswers());
   }
@@ -37,19 +37,19 @@
   @Test
   void theCalleeCanReleaseAnEstablishedCallAfterARestart() {
     establishCall();
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.restart(300);
     harness.localSwitch.send(
         harness.controllerAddress,
         "BYE sip:x SIP/2.0\r\nVia: SIP/2.0/UDP 192.0.2.9;branch=z9hG4bKb\r\nFrom: "
             + attempt.header("To")
-            + ";tag=far\r\nTo: "
+            + ";tag=remote\r\nTo: "
             + attempt.header("From")
             + "\r\nCall-ID: "
             + attempt.header("Call-ID")
             + "\r\nCSeq: 1 BYE\r\n\r\n");
     harness.runFor(50);
-    assertEquals(1, harness.caller.readsStartingWith("BYE").size());
+    assertEquals(1, harness.caller.receivedStartingWith("BYE").size());
     assertEquals(0, harness.frontEnd.controller().callCount());
   }
 
@@ -60,8 +60,8 @@
     harness.restart(300);
     harness.sendFromCaller("INVITE", "c1", 2, tag);
     harness.runFor(20);
-    RawNode.Read reinvite = harness.localSwitch.lastStartingWith("INVITE");
-    assertTrue(reinvite.header("To").endsWith("tag=far"));
+    RawNode.Message reinvite = harness.localSwitch.lastStartingWith("INVITE");
+    assertTrue(reinvite.header("To").endsWith("tag=remote"));
     harness.localSwitch.respond(reinvite, "200 OK", "", "");
     harness.runFor(20);
     assertEquals("2 INVITE", harness.caller.lastStartingWith("SIP/2.0 200").header("CSeq"));
@@ -71,7 +71,7 @@
   void anInterruptedSetUpIsCancelledAndItsCallerAnsweredOnce() {
     String invite = harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.localSwitch.respond(attempt, "100 Trying", "", "");
     harness.runFor(5);
     harness.restart(100);
@@ -79,7 +79,7 @@
     harness.caller.send(harness.controllerAddress, invite);
     harness.runFor(50);
     assertEquals(List.of("503"), harness.finalAnswers());
-    RawNode.Read cancel = harness.localSwitch.lastStartingWith("CANCEL");
+    RawNode.Message cancel = harness.localSwitch.lastStartingWith("CANCEL");
     assertEquals(attempt.header("Via"), cancel.header("Via"));
     harness.localSwitch.respond(cancel, "200 OK", "", "");
     harness.localSwitch.respond(attempt, "487 Over", "t", "");
@@ -93,15 +93,15 @@
   void a200ToAnAttemptFromBeforeTheRestartIsReleased() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    RawNode.Read attempt = harness.attempts().get(0);
+    RawNode.Message attempt = harness.attempts().get(0);
     harness.restart(100);
     harness.runFor(20);
-    harness.localSwitch.respond(attempt, "200 OK", "far", "");
+    harness.localSwitch.respond(attempt, "200 OK", "remote", "");
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
     harness.localSwitch.respond(harness.localSwitch.lastStartingWith("BYE"), "200 OK", "", "");
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("ACK").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("ACK").size());
     assertEquals(List.of("503"), harness.finalAnswers());
   }
 
@@ -114,7 +114,7 @@
     harness.restart(10_000);
     harness.runFor(100);
     assertEquals(List.of(), harness.finalAnswers());
-    assertEquals(1, harness.localSwitch.readsStartingWith("CANCEL").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("CANCEL").size());
   }
 
   @Test
@@ -157,7 +157,7 @@
     assertEquals(1, harness.frontEnd.controller().callCount());
     harness.runFor(80_000);
     assertEquals(0, harness.frontEnd.controller().callCount());
-    assertTrue(!harness.caller.readsStartingWith("BYE").isEmpty());
+    assertTrue(!harness.caller.receivedStartingWith("BYE").isEmpty());
   }
 
   @Test
@@ -165,13 +165,13 @@
     harness.invite("c1", 4);
     harness.runFor(20);
     harness.localSwitch.respond(
-        harness.attempts().get(0), "200 OK", "far", "Session-Expires: 90\r\n");
+        harness.attempts().get(0), "200 OK", "remote", "Session-Expires: 90\r\n");
     harness.runFor(10);
     harness.sendFromCaller("ACK", "c1", 1, harness.callerTag());
     harness.runFor(100);
     harness.disk.flush();
     harness.restart(300);
-    RawNode.Read verified = respondToBothEnds("OPTIONS", 85_000);
+    RawNode.Message verified = respondToBothEnds("OPTIONS", 85_000);
     assertTrue(verified != null);
     assertEquals(1, harness.frontEnd.controller().callCount());
     harness.runFor(10_000);
@@ -179,9 +179,9 @@
   }
 
   /** Both ends confirm a request with 200; returns the one sent to the switch. */
-  private RawNode.Read respondToBothEnds(String method, double durationMillis) {
+  private RawNode.Message respondToBothEnds(String method, double durationMillis) {
     harness.runFor(1_000);
-    RawNode.Read remoteRequest = harness.localSwitch.lastStartingWith(method);
+    RawNode.Message remoteRequest = harness.localSwitch.lastStartingWith(method);
     harness.localSwitch.respond(remoteRequest, "200 OK", "", "");
     harness.caller.respond(harness.caller.lastStartingWith(method), "200 OK", "", "");
     harness.runFor(durationMillis);
@@ -192,7 +192,7 @@
   void aCallStoredBeforeTheCrashButNotAnsweredIsEstablished() {
     harness.invite("c1", 4);
     harness.runFor(20);
-    harness.localSwitch.respond(harness.attempts().get(0), "200 OK", "far", "");
+    harness.localSwitch.respond(harness.attempts().get(0), "200 OK", "remote", "");
     harness.runFor(1 + ControllerHarness.SYNC_MILLIS / 2);
     assertEquals(List.of(), harness.finalAnswers());
     harness.disk.flush();
@@ -232,12 +232,12 @@
     establishCall();
     harness.restart(300);
     harness.runFor(150);
-    RawNode.Read request = harness.localSwitch.lastStartingWith("OPTIONS");
-    assertTrue(request.header("To").endsWith("tag=far"));
+    RawNode.Message request = harness.localSwitch.lastStartingWith("OPTIONS");
+    assertTrue(request.header("To").endsWith("tag=remote"));
     harness.localSwitch.respond(request, "481 Gone", "", "");
     harness.runFor(50);
     assertEquals(0, harness.frontEnd.controller().callCount());
-    assertEquals(1, harness.caller.readsStartingWith("BYE").size());
+    assertEquals(1, harness.caller.receivedStartingWith("BYE").size());
   }
 
   @Test
@@ -250,6 +250,6 @@
     assertEquals(1, harness.frontEnd.controller().callCount());
     harness.sendFromCaller("BYE", "c1", 2, tag);
     harness.runFor(50);
-    assertEquals(1, harness.localSwitch.readsStartingWith("BYE").size());
+    assertEquals(1, harness.localSwitch.receivedStartingWith("BYE").size());
   }
 }
