--- a/isup/src/main/java/coveladder/isup/CallerMessage.java
+++ b/isup/src/main/java/coveladder/isup/CallerMessage.java
@@ -38,7 +38,7 @@
   /** Parameter: the call class. */
   public static final int CLASS = 16;
 
-  /** Parameter: time for which the caller still waits, ms. */
+  /** Parameter: time that the caller waits from when it sent the set-up, ms. */
   public static final int LEFT = 17;
 
   /** Parameter: marks the retry of an earlier set-up. */
@@ -56,7 +56,7 @@
   /** Parameter: the cause, one octet. */
   public static final int CAUSE = 30;
 
-  /** Parameter: the description. */
+  /** Parameter: the session description. */
   public static final int DESCRIPTION = 31;
 
   /** Creates a message whose only parameter is a cause. */
--- a/isup/src/main/java/coveladder/isup/Cause.java
+++ b/isup/src/main/java/coveladder/isup/Cause.java
@@ -11,7 +11,7 @@
   /** No circuit available. */
   public static final int NO_CIRCUIT = 34;
 
-  /** Temporary failure: a set-up failed on the way, or a call was cut off. */
+  /** Temporary failure: a set-up failed on the way, or a call was disconnected. */
   public static final int TEMPORARY_FAILURE = 41;
 
   /** Switching equipment congestion. */
--- a/isup/src/main/java/coveladder/isup/SwitchMessage.java
+++ b/isup/src/main/java/coveladder/isup/SwitchMessage.java
@@ -9,7 +9,7 @@
  * @param sid the call's id, 16 hex digits
  * @param attrs further fields; numbers as the sender wrote them
  * @param code the cause, or the result of a probe; -1 if there is none
- * @param text the description; null if there is none
+ * @param text the session description; null if there is none
  */
 public record SwitchMessage(
     Kind kind, String sid, Map<String, String> attrs, int code, String text) {
--- a/isup/src/test/java/coveladder/isup/CallerCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/CallerCodecTest.java
@@ -16,6 +16,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests the encoding, decoding and framing of caller messages. */
 class CallerCodecTest {
   private static final int MAX_MESSAGE_BYTES = 16_384;
 
--- a/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
+++ b/isup/src/test/java/coveladder/isup/SwitchCodecTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests switch messages, journal lines, and the line framing and JSON that both use. */
 class SwitchCodecTest {
 
   private static byte[] bytes(String text) {
@@ -77,9 +78,9 @@
     for (int splitAt = 0; splitAt <= octets.length; splitAt++) {
       LineFramer framer = new LineFramer(8);
       List<String> lines = new ArrayList<>();
-      framer.feed(Arrays.copyOf(octets, splitAt), l -> lines.add(new String(l)));
+      framer.feed(Arrays.copyOf(octets, splitAt), line -> lines.add(new String(line)));
       framer.feed(
-          Arrays.copyOfRange(octets, splitAt, octets.length), l -> lines.add(new String(l)));
+          Arrays.copyOfRange(octets, splitAt, octets.length), line -> lines.add(new String(line)));
       assertEquals(List.of("one", "", "two"), lines);
       assertTrue(framer.hasPartialLine());
     }
--- a/isupfront/src/main/java/coveladder/isupfront/CallerConnection.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerConnection.java
@@ -23,7 +23,10 @@
   private final Set<String> pendingCalls = new LinkedHashSet<>();
   private final RecentIds refusedDuplicateIds = new RecentIds(MAX_REFUSED_IDS);
   private final Map<String, ReleaseSender.Release> recentReleases = new LinkedHashMap<>();
+
+  /** Clock at which the last complete message arrived, or the connection was accepted, ms. */
   private double lastMessageAt;
+
   private boolean used;
   private boolean closed;
   private int unusableMessages;
@@ -52,7 +55,7 @@
     return closed;
   }
 
-  /** Whether it brought a test or a call that was established. */
+  /** Whether the connection brought a test or a call that was established. */
   boolean used() {
     return used;
   }
--- a/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
@@ -35,8 +35,8 @@
   private final Map<String, CallerCall> calls = new HashMap<>();
   private int pendingCount;
 
-  /** Whether tests fail, so that new calls are sent to other controllers. */
-  private boolean failingTests;
+  /** Whether the tests of callers fail, so that they send new calls to other controllers. */
+  private boolean failingCallerTests;
 
   /** Whether each new set-up is refused. */
   private boolean refusingSetUps;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Closes connections that completed no message for too long and are within one, or have never
-   * been used for a test or an established call.
+   * Closes connections that completed no message for too long, if part of a message has arrived, or
+   * if they have no pending call and never brought a test or an established call.
    */
   void closeSilentConnections() {
     double now = scheduler.now();
@@ -163,7 +163,7 @@
   }
 
   private void onTest(CallerConnection connection, CallerMessage message) {
-    int passed = !failingTests && switches.isStateKnown() ? 1 : 0;
+    int passed = !failingCallerTests && switches.isStateKnown() ? 1 : 0;
     connection.send(CallerMessage.withCause(CallerMessage.TESTED, message.callId(), passed));
     connection.markUsed();
   }
@@ -190,7 +190,7 @@
   }
 
   private void acceptSetUp(CallerConnection connection, SetUp setUp, double arrived) {
-    if (failingTests) {
+    if (failingCallerTests) {
       counters.increment(setUp.transit() ? "late set-ups in transit" : "late set-ups of callers");
     }
     calls.put(setUp.id(), new CallerCall(setUp, connection));
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Refuses a set-up that cannot be used. The connection is closed after too many of them, unless
-   * it has pending calls.
+   * Refuses a set-up that cannot be used, or whose id is in use. The connection is closed after too
+   * many of them, unless it has pending calls.
    */
   private void refuseUnusable(CallerConnection connection, String id) {
     if (connection.pendingCalls().contains(id)) {
@@ -337,11 +337,11 @@
   }
 
   /**
-   * Fails tests from now on, so that new calls are sent to other controllers; set-ups that arrive
-   * are still served.
+   * Fails the tests of callers from now on, so that they send new calls to other controllers;
+   * set-ups that arrive are still served.
    */
-  void failTests() {
-    failingTests = true;
+  void failCallerTests() {
+    failingCallerTests = true;
   }
 
   /** Refuses all new set-ups from now on. */
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -23,8 +23,9 @@
   private static final double CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * Upper limit of the shutdown window. The platform's window at a planned restart is the longest
-   * caller time-out, limited to this value; it kills the process no sooner than 0.7 s after it.
+   * Upper limit of the shutdown window. At a planned restart the platform's window is the longest
+   * caller time-out, but at most this long; the platform kills the process no sooner than 0.7 s
+   * after the end of the window.
    */
   private static final double MAX_SHUTDOWN_WINDOW_MILLIS = 3_000;
 
@@ -35,8 +36,8 @@
   private static final double RELEASE_PERIOD_MILLIS = 100;
 
   /**
-   * Time that the process stays after it has closed its connections. A set-up that crosses the
-   * close of its connection by 50 ms is sent again by its caller, to another controller.
+   * Time for which the process continues after it closed its connections. A caller whose set-up
+   * crosses the close of its connection by 50 ms sends it again, to another controller.
    */
   private static final double CLOSE_CROSSING_MILLIS = 100;
 
@@ -50,7 +51,7 @@
   private final Transport transport;
   private final double shutdownWindowMillis;
 
-  /** Clock at which the end was requested, ms; NaN before. */
+  /** Clock at which termination was requested, ms; NaN before. */
   private double terminationRequestedAt = Double.NaN;
 
   /** Clock at which all connections were closed, ms; NaN before. */
@@ -154,11 +155,14 @@
     journal.moveTo(newSettings.journalAddress());
   }
 
-  /** Requests the end: set-ups are served for a while, then all pending calls are answered. */
+  /**
+   * Requests termination: set-ups are served during the first part of the shutdown window, and all
+   * pending calls are answered at its end.
+   */
   public void terminate() {
     if (Double.isNaN(terminationRequestedAt)) {
       terminationRequestedAt = scheduler.now();
-      callers.failTests();
+      callers.failCallerTests();
     }
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -69,7 +69,7 @@
       try {
         framer.feed(octets, this::onLine);
       } catch (MalformedException e) {
-        unreadable(e.getMessage());
+        onUnreadable(e.getMessage());
       }
     }
 
@@ -82,11 +82,11 @@
       try {
         apply(JournalLine.decode(line));
       } catch (MalformedException | WireException e) {
-        unreadable(e.getMessage());
+        onUnreadable(e.getMessage());
       }
     }
 
-    private void unreadable(String problem) {
+    private void onUnreadable(String problem) {
       counters.increment("journal lines that cannot be read: " + problem);
       resubscribe(this, 0);
     }
--- a/isupfront/src/main/java/coveladder/isupfront/Limits.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Limits.java
@@ -10,7 +10,8 @@
  *     resumed
  * @param callerSilenceMillis time without a complete message after which a caller connection is
  *     closed if it is within a message or was never used for a test or an established call, ms
- * @param maxUnusableMessages number of unusable set-ups after which a caller connection is closed
+ * @param maxUnusableMessages number of set-ups that are unusable or have the id of another call,
+ *     after which a caller connection is closed
  * @param maxConnectionsPerSwitch maximum number of connections to one switch
  * @param partialLineMillis time without progress within a line after which a switch connection is
  *     reset, ms
@@ -33,13 +34,16 @@
   private static final int RESERVED_DESCRIPTORS = 64;
 
   /**
-   * The platform requires that calls which ended unnoticed are released within 8 s of their end.
+   * Silence after which a switch is declared gone. The platform requires that calls which ended
+   * unnoticed are released within 8 s of their end.
    */
   private static final double SWITCH_SILENCE_MILLIS = 7_000;
 
   /**
-   * Creates limits that fit a number of file descriptors.
+   * Creates limits that fit a number of file descriptors. Descriptors for the connections to four
+   * further switches are left free, but at least 16 caller connections are allowed.
    *
+   * @param descriptors maximum number of file descriptors of the process
    * @param switches number of switches in the exchange directory
    */
   public static Limits forDescriptors(int descriptors, int switches) {
--- a/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Outcomes.java
@@ -9,7 +9,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Maps between causes and figures on the wire and the core's types (docs/platform.md). */
+/**
+ * Converts causes and load figures on the wire to the core's types, and final answers to causes
+ * (docs/platform.md).
+ */
 final class Outcomes {
   /** Alternative names of load figures, by their usual names. */
   private static final Map<String, String> FIGURE_ALIASES =
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -70,6 +70,8 @@
   private ExchangeDirectory.Entry entry;
   private boolean stateKnown;
   private boolean inDirectory = true;
+
+  /** Clock at which the switch last sent octets or accepted a connection, ms. */
   private double lastHeardAt;
 
   /**
@@ -85,7 +87,10 @@
   static final class OutstandingAttempt {
     final AttemptRequest request;
     final SetUp setUp;
+
+    /** Clock at which the controller started the attempt, ms. */
     final double startedAt;
+
     boolean sent;
 
     OutstandingAttempt(AttemptRequest request, SetUp setUp, double startedAt) {
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLinks.java
@@ -20,7 +20,7 @@
  * controller.
  */
 final class SwitchLinks {
-  /** Time after the start at which the controller stops waiting for the state of all groups. */
+  /** Time after the start at which the wait for the state of all circuit groups ends. */
   private static final double STATE_WAIT_MILLIS = 1_000;
 
   private final CallController controller;
@@ -86,7 +86,10 @@
     return guard.withinDrainGrace(controller.directory().closedSince(exchange), scheduler.now());
   }
 
-  /** Returns a seeded random number from 0 to 1, which spreads what all controllers do. */
+  /**
+   * Returns a seeded random number from 0 to 1. It spreads the connection attempts of all
+   * controllers over time.
+   */
   double nextRandom() {
     return random.nextDouble();
   }
--- a/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
@@ -20,6 +20,10 @@
   private FrontEndHarness harness;
   private FrontEndHarness.FakeConnection caller;
 
+  /**
+   * Creates a harness with low limits, such as 4 caller connections, 5 pending calls and 3 unusable
+   * set-ups for each connection.
+   */
   @BeforeEach
   void setUpHarness() {
     harness =
--- a/isupfront/src/test/java/coveladder/isupfront/LifecycleTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/LifecycleTest.java
@@ -211,10 +211,10 @@
     }
     assertTrue(
         harness.frontEnd.isTerminated(),
-        "still running after ms " + (harness.clock.now() - requestedAt));
+        "still running, ms after the request: " + (harness.clock.now() - requestedAt));
     assertTrue(
         harness.clock.now() - requestedAt <= killMillis - 400,
-        "ended after ms " + (harness.clock.now() - requestedAt));
+        "ended, ms after the request: " + (harness.clock.now() - requestedAt));
     assertEquals(1, connectedBefore.takeSent().size());
     assertEquals(id - 1, connectedAfter.takeSent().size());
     assertFalse(harness.listening);
--- a/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/SoakTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs five minutes of new calls, caller connections and switches with the production policy.
- * Guards against calls or timers that accumulate.
+ * Runs five minutes of virtual time with new calls, caller connections and switches with the
+ * production policy. Guards against calls or timers that accumulate.
  */
 class SoakTest {
   private static final int MINUTES = 5;
@@ -32,9 +32,10 @@
   private void placeCall() {
     int id = nextId++;
     FrontEndHarness.FakeConnection caller = harness.connectCaller();
-    int dest = 1 + random.nextInt(2);
+    int destination = 1 + random.nextInt(2);
     caller.deliver(
-        FrontEndHarness.setUp(id, CallerMessage.FIGURES, "dest:" + dest + ";width:1;via:-1"));
+        FrontEndHarness.setUp(
+            id, CallerMessage.FIGURES, "dest:" + destination + ";width:1;via:-1"));
     answerSetUps();
     List<String> answers =
         caller.takeSent().stream()
@@ -82,7 +83,12 @@
     }
   }
 
-  /** Lists a new switch at the address of the previous one and terminates that one. */
+  /**
+   * Lists a new switch at the address of the previous one and terminates that one.
+   *
+   * @param position journal position of the first of the two events; the new switch's id contains
+   *     it
+   */
   private void replaceSwitch(int position) {
     String event =
         "{\"pos\":%d,\"hosts\":{\"generation\":2,\"reset\":false,\"instances\":[{\"instanceId\":\"s-%d\","
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -23,7 +23,7 @@
 public final class Serve {
   private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
 
-  /** Signal number of HUP. */
+  /** Number of the signal HUP. */
   private static final int HUP_NUMBER = 1;
 
   /** Maximum number of tasks queued for the event loop. */
@@ -38,13 +38,13 @@
   /** Maximum number of times that an unusable configuration file is read. */
   private static final int MAX_RELOAD_ATTEMPTS = 20;
 
-  /** Delay between two of these attempts, ms. */
+  /** Delay before an unusable configuration file is read again, ms. */
   private static final long RELOAD_RETRY_MILLIS = 100;
 
   private final Path configurationFile;
   private final EventLoop loop;
-  private final IsupFrontEnd front;
-  private final SocketWires wires;
+  private final IsupFrontEnd frontEnd;
+  private final SocketTransport transport;
   private final ConfigurationReloader reloader = new ConfigurationReloader(this::reload);
   private final CountDownLatch terminated = new CountDownLatch(1);
 
@@ -54,17 +54,22 @@
     Limits limits =
         Limits.forDescriptors(
             settings.maxDescriptors(), settings.policySettings().controllerCount());
-    this.wires = new SocketWires(Sockets.streamsOnly(1), loop, streamLimits(settings, limits));
-    this.front =
+    this.transport =
+        new SocketTransport(Sockets.streamsOnly(1), loop, streamLimits(settings, limits));
+    this.frontEnd =
         new IsupFrontEnd(
             settings,
             limits,
-            wires,
+            transport,
             new LoopClock(loop),
             actions ->
                 new NestedThresholdPolicy(settings.policySettings(), settings.seed(), actions));
   }
 
+  /**
+   * Returns the limits of the sockets. They allow a few more accepted connections than the front
+   * end keeps, since it closes one only after a new one was accepted.
+   */
   private static Streams.Limits streamLimits(PlatformSettings settings, Limits limits) {
     int maxAccepted = limits.maxCallerConnections() + 8;
     return new Streams.Limits(
@@ -107,11 +112,11 @@
     if (Signals.isIgnored(HUP_NUMBER)) {
       LOG.warn("SIGHUP was set to be ignored before the start: no new configuration will be read");
     }
-    loop.after(0, front::start);
+    loop.after(0, frontEnd::start);
     loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
-    wires.listen(
+    transport.listen(
         new InetSocketAddress(settings.listenAddress().host(), settings.listenAddress().port()),
-        front::acceptCaller);
+        frontEnd::acceptCaller);
     loop.start();
     LOG.info(
         "{} serves at {}:{}",
@@ -123,15 +128,16 @@
   }
 
   private void terminate() {
-    LOG.info("told to end; {}", front.stateSummary());
+    LOG.info("told to end; {}", frontEnd.stateSummary());
     reloader.stop();
-    front.terminate();
+    frontEnd.terminate();
     awaitTermination();
   }
 
+  /** Checks every 20 ms whether the front end has terminated, and then lets the process end. */
   private void awaitTermination() {
-    if (front.isTerminated()) {
-      LOG.info("ends; {}; {}", front.stateSummary(), front.counters().takeChanges());
+    if (frontEnd.isTerminated()) {
+      LOG.info("ends; {}; {}", frontEnd.stateSummary(), frontEnd.counters().takeChanges());
       terminated.countDown();
     } else {
       loop.after(20, this::awaitTermination);
@@ -144,7 +150,7 @@
     for (int attempt = 0; attempt < MAX_RELOAD_ATTEMPTS; attempt++) {
       try {
         PlatformSettings settings = PlatformSettings.read(Files.readAllBytes(configurationFile));
-        loop.execute(() -> front.reconfigure(settings));
+        loop.execute(() -> frontEnd.reconfigure(settings));
         LOG.info("configuration read again; journal service at {}", settings.journalAddress());
         return;
       } catch (WireException | IOException e) {
@@ -156,10 +162,10 @@
   }
 
   private void logState() {
-    String changedCounters = front.counters().takeChanges();
+    String changedCounters = frontEnd.counters().takeChanges();
     LOG.info(
         "{}; faults {}{}",
-        front.stateSummary(),
+        frontEnd.stateSummary(),
         loop.failedTasks(),
         changedCounters.isEmpty() ? "" : "; " + changedCounters);
     loop.after(STATE_LOG_INTERVAL_MILLIS, this::logState);
--- a/serve/src/main/java/coveladder/serve/SocketWires.java
+++ b/serve/src/main/java/coveladder/serve/SocketTransport.java
@@ -11,19 +11,23 @@
 import java.util.function.Function;
 
 /**
- * Implements the connections of the protocol front end on sockets. Bytes that were read are handed
- * to the event loop; a budget limits those that wait for it.
+ * Implements the front end's transport on sockets. Bytes that were read are handed to the event
+ * loop; a budget limits those that wait for it.
+ *
+ * <p>Input and closes of callers are processed before timers and other tasks, so that no call is
+ * sent on whose caller has released it or disconnected. Updates of the exchange directory are
+ * processed before both.
  */
-final class SocketWires implements Transport, Streams.Listener {
+final class SocketTransport implements Transport, Streams.Listener {
   /** Maximum number of bytes that were read and wait for the event loop. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
 
   private final EventLoop loop;
   private final Streams streams;
   private final ByteBudget unreadBudget = new ByteBudget(MAX_UNREAD_BYTES);
-  private Function<Connection, ConnectionListener> acceptor = wire -> null;
+  private Function<Connection, ConnectionListener> acceptor = connection -> null;
 
-  SocketWires(Sockets sockets, EventLoop loop, Streams.Limits limits) {
+  SocketTransport(Sockets sockets, EventLoop loop, Streams.Limits limits) {
     this.loop = loop;
     this.streams = new Streams(sockets, loop, limits, this);
   }
@@ -31,7 +35,7 @@
   /**
    * Accepts the connections of callers at an address.
    *
-   * @param newAcceptor called with each accepted connection; returns the receiver of its events
+   * @param newAcceptor called with each accepted connection; returns the listener for its events
    */
   void listen(InetSocketAddress address, Function<Connection, ConnectionListener> newAcceptor)
       throws IOException {
@@ -39,11 +43,11 @@
     streams.listen(address);
   }
 
-  /** A stream behind the interface of the front end. */
-  private final class SocketWire implements Connection {
+  /** A connection of the front end, carried by a stream. */
+  private final class SocketConnection implements Connection {
     private final Stream stream;
 
-    SocketWire(Stream stream) {
+    SocketConnection(Stream stream) {
       this.stream = stream;
     }
 
@@ -64,10 +68,10 @@
   }
 
   @Override
-  public Connection connect(String host, int port, ConnectionListener user) {
+  public Connection connect(String host, int port, ConnectionListener listener) {
     Stream stream = streams.connect(new InetSocketAddress(host, port));
-    stream.attachment(user);
-    return new SocketWire(stream);
+    stream.attachment(listener);
+    return new SocketConnection(stream);
   }
 
   @Override
@@ -75,7 +79,7 @@
     streams.stopListening();
   }
 
-  private static ConnectionListener user(Stream stream) {
+  private static ConnectionListener listener(Stream stream) {
     return (ConnectionListener) stream.attachment();
   }
 
@@ -86,17 +90,18 @@
 
   @Override
   public void accepted(Stream stream) {
-    stream.attachment(acceptor.apply(new SocketWire(stream)));
+    stream.attachment(acceptor.apply(new SocketConnection(stream)));
   }
 
   @Override
   public void connected(Stream stream) {
-    user(stream).opened();
+    listener(stream).opened();
   }
 
   @Override
   public void lost(Stream stream, Streams.Loss loss) {
-    user(stream).lost(Loss.valueOf(loss.name()));
+    // The constants of both enums have the same names.
+    listener(stream).lost(Loss.valueOf(loss.name()));
   }
 
   @Override
@@ -108,12 +113,12 @@
         () -> {
           unreadBudget.release(octets.length);
           if (streams.contains(stream)) {
-            user(stream).received(octets, arrivedMillis);
+            listener(stream).received(octets, arrivedMillis);
           }
         };
     if (!stream.outbound()) {
       loop.executePrioritized(deliver);
-    } else if (stream.attachment() instanceof ConnectionListener wireUser && wireUser.urgent()) {
+    } else if (stream.attachment() instanceof ConnectionListener listener && listener.urgent()) {
       loop.executeUrgent(deliver);
     } else {
       loop.execute(deliver);
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -24,9 +24,17 @@
   private final StringBuilder reply = new StringBuilder();
   private final Map<Integer, Instance> instances = new HashMap<>();
   private final Map<Integer, List<CallPolicy.Exchange>> directoryPages = new HashMap<>();
+
+  /** The directory page that the next entries belong to. */
   private List<CallPolicy.Exchange> currentPage = new ArrayList<>();
+
+  /** Id of the current batch; {@code none} before the first. */
   private String turn = "none";
+
+  /** Simulated time of the current batch, ms. */
   private double now;
+
+  /** Number of the current line within its batch, from 1. */
   private int lineNumber;
 
   SimHost(BufferedReader in, PrintStream out) {
--- a/simhost/src/test/java/coveladder/simhost/SimHostTest.java
+++ b/simhost/src/test/java/coveladder/simhost/SimHostTest.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Tests the program's replies to the simulator's input lines, and its exit status. */
 class SimHostTest {
   private static final String START_FIELDS =
       " salt=1 classes.count=1 classes.0.aim=1000 classes.0.giveUp=6000 classes.0.worth=1"
--- a/wire/src/main/java/coveladder/wire/ReportReader.java
+++ b/wire/src/main/java/coveladder/wire/ReportReader.java
@@ -59,9 +59,9 @@
   /**
    * Converts the number of a note to the reason why an attempt was not set up.
    *
-   * @param note {@code note % 16} is the reason; {@code note / 16} is the waiting time that a full
-   *     processor requests, ms; a crankback with 16 or above comes from a processor beyond the
-   *     tandem
+   * @param note {@code note % 16} is the reason. With a full processor, {@code note / 16} is the
+   *     waiting time that it requests, ms. With a crankback, a note of 16 or above says that a
+   *     processor beyond the tandem is full.
    */
   public static Reason reason(int note) {
     return switch (note % 16) {
--- a/wire/src/main/java/coveladder/wire/SettingsReader.java
+++ b/wire/src/main/java/coveladder/wire/SettingsReader.java
@@ -63,13 +63,18 @@
     };
   }
 
+  /**
+   * Reads the call classes. The policy does not know zones, so a key that is valid in a zone is
+   * treated as one that is valid only in a cell, which lies in its zone.
+   */
   private static List<CallClass> classes(Fields fields) {
     int count = fields.intValue("classes.count");
-    double[] widths = perClass(fields, "familyInfo.channelsNeeded", count);
-    double[] holds = perClass(fields, "familyInfo.classHold", count);
+    double[] widths = valuesPerClass(fields, "familyInfo.channelsNeeded", count);
+    double[] holds = valuesPerClass(fields, "familyInfo.classHold", count);
     List<CallClass> classes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String prefix = "classes." + i + ".";
+      // The caller time-out has no default: this fails if it is missing.
       fields.text(prefix + "giveUp");
       double callerTimeout =
           fields.numberWithin(prefix + "giveUp", 0, MIN_POSITIVE, MAX_DURATION_MILLIS);
@@ -90,8 +95,8 @@
   }
 
   /**
-   * Reads the time within which a repeat may be sent, ms. The policy does not know zones, so a key
-   * that is valid in a zone is treated as one that is valid only in a cell, which lies in its zone.
+   * Reads the time within which a repeat may be sent, ms: without limit if repeats are safe, the
+   * validity period of the key if they are keyed, and 0 if they are unsafe.
    */
   private static double repeatWindow(Fields fields, String prefix) {
     String word = fields.text(prefix + "repeat", "safe");
@@ -105,7 +110,7 @@
     };
   }
 
-  private static double[] perClass(Fields fields, String path, int count) {
+  private static double[] valuesPerClass(Fields fields, String path, int count) {
     double[] values = fields.numbers(path);
     if (values.length != 0 && values.length != count) {
       throw new WireException(
