--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -71,7 +71,10 @@
   private boolean stateKnown;
   private boolean inDirectory = true;
 
-  /** Clock at which the switch last sent octets or accepted a connection, ms. */
+  /**
+   * Clock at which the switch last sent octets or accepted a connection, ms; at first, that at
+   * which the link was created.
+   */
   private double lastHeardAt;
 
   /**
