--- a/core/src/main/java/coveladder/core/AttemptGuard.java
+++ b/core/src/main/java/coveladder/core/AttemptGuard.java
@@ -1,9 +1,10 @@
 package coveladder.core;
 
 /**
- * Checks each set-up just before it is sent. The policy observes these rules by itself; the guard
- * protects against a fault in the policy or in its driver. A suppressed set-up ends as skipped and
- * is counted.
+ * Checks each set-up just before it is sent: its call must have neither a final answer nor another
+ * attempt, the guard time must be over, and the exchange must be in service or within the grace
+ * period of its drain. The policy observes these rules by itself; the guard protects against a
+ * fault in the policy or in its driver. A suppressed set-up ends as skipped and is counted.
  */
 public final class AttemptGuard {
   private final double guardTimeMillis;
--- a/core/src/main/java/coveladder/core/CallController.java
+++ b/core/src/main/java/coveladder/core/CallController.java
@@ -193,7 +193,7 @@
   public void callerAbandoned(String id) {
     TrackedCall tracked = calls.get(id);
     if (tracked != null && tracked.isEstablished()) {
-      // The CANCEL crossed the 2xx while that waited to be persisted: release the call instead.
+      // The CANCEL arrived while the 2xx waited to be persisted: release the call instead.
       callerReleased(id);
     }
     if (tracked != null && !tracked.isAnswered()) {
@@ -244,9 +244,10 @@
   // ---- Attempts -----------------------------------------------------------------------------
 
   /**
-   * An attempt was answered: the call is established. The front end itself releases answers to
-   * calls that have ended or attempts that were given up and reports {@link #attemptEnded}; one
-   * that is reported here all the same is released without further effect.
+   * An attempt was answered: the call is established. If the call has ended or the attempt was
+   * given up, the front end must not report the answer here, but release the attempt itself and
+   * report {@link #attemptEnded}. If it reports such an answer nevertheless, the attempt is
+   * released and nothing else happens.
    */
   public void attemptAnswered(String id, int attempt) {
     TrackedCall tracked = calls.get(id);
@@ -283,6 +284,8 @@
   /**
    * An attempt ended: with its final answer, with a reset, or when the wait after its cancel is
    * over. Repeated reports are ignored.
+   *
+   * @param requestedWait waiting time that a full processor asks for, ms; 0: none given
    */
   public void attemptEnded(
       String id, int attempt, Outcome outcome, Reason reason, double requestedWait) {
@@ -292,6 +295,7 @@
   /**
    * An attempt ended, and load figures came with its end.
    *
+   * @param requestedWait waiting time that a full processor asks for, ms; 0: none given
    * @param load the load figures that came with it; null: the last known ones are used
    */
   public void attemptEnded(
@@ -345,6 +349,7 @@
     };
   }
 
+  /** Whether an attempt with this outcome may have taken effect at the remote end. */
   private static boolean isUncertain(Outcome outcome) {
     return outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED;
   }
@@ -405,7 +410,14 @@
         p -> p.onDirectoryUpdate(scheduler.now(), new DirectoryUpdate(true, false, List.of())));
   }
 
-  /** The local switch reported the free circuits of the group toward an exchange. */
+  /**
+   * The local switch reported the free circuits of the group toward an exchange.
+   *
+   * @param number number of the remote exchange
+   * @param free free circuits
+   * @param size number of circuits in the group
+   * @param version version of the report; one that is not newer than the last is ignored
+   */
   public void circuitsReported(int number, int free, int size, long version) {
     ExchangeDirectory.Entry remote = directory.byNumber(number);
     if (circuitGroups.update(number, free, size, version) && remote != null) {
@@ -456,7 +468,7 @@
 
   /**
    * Refuses new calls and gives each pending call its one final answer. Outstanding attempts are
-   * cancelled; established calls continue.
+   * cancelled; established calls continue without further decisions by this controller.
    */
   public void shutDown() {
     drain();
@@ -469,8 +481,8 @@
   }
 
   /**
-   * The kind of answer at shutdown: a call that may have taken effect has failed if its class is
-   * not safe to repeat anywhere.
+   * The kind of answer at shutdown: FAILED for a call that may have taken effect and whose class is
+   * not safe to repeat anywhere; otherwise SHUT_DOWN.
    */
   private FinalAnswer.Kind shutdownAnswer(TrackedCall tracked) {
     boolean safeToRetry =
--- a/core/src/main/java/coveladder/core/ExchangeDirectory.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -15,7 +15,7 @@
  * complete directory must be requested.
  */
 public final class ExchangeDirectory {
-  private static final int MAX_WITHDRAWN = 256;
+  private static final int MAX_WITHDRAWN_EXCHANGES = 256;
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Set<Integer> everListedNumbers = new TreeSet<>();
@@ -30,7 +30,7 @@
    * @param domain host part of the URIs of its numbers
    * @param address URI of its signalling address
    * @param state state of the exchange
-   * @param startedAt this controller's clock at its last start, ms; 0: long ago
+   * @param startedAt time of its last start by this controller's clock, ms; 0: long ago
    */
   public record Entry(
       String id, int number, String domain, String address, ExchangeState state, double startedAt) {
@@ -50,11 +50,11 @@
    */
   public record Update(boolean complete, long baseVersion, long version, List<Entry> entries) {}
 
-  /** What became of an update. */
+  /** The result of applying an update. */
   public enum UpdateResult {
     /** The update was applied. */
     APPLIED,
-    /** The directory already has this version. */
+    /** The directory already has this version or a newer one. */
     OUTDATED,
     /** An earlier update is missing: the complete directory must be requested. */
     GAP
@@ -102,9 +102,9 @@
     evictOldestWithdrawn();
   }
 
-  /** Bounds the memory for withdrawn exchanges: replacements come under ever new ids. */
+  /** Limits the withdrawn exchanges remembered: each replacement processor has a new id. */
   private void evictOldestWithdrawn() {
-    if (closedAt.size() > entries.size() + MAX_WITHDRAWN) {
+    if (closedAt.size() > entries.size() + MAX_WITHDRAWN_EXCHANGES) {
       closedAt.keySet().stream()
           .filter(id -> !entries.containsKey(id))
           .findFirst()
@@ -153,7 +153,7 @@
     return -1;
   }
 
-  /** Clock at which an exchange was first reported as not in service, ms; infinite if it is. */
+  /** Clock at which an exchange was first reported as closed, ms; infinite if in service. */
   public double closedSince(String id) {
     return closedAt.getOrDefault(id, Double.POSITIVE_INFINITY);
   }
--- a/core/src/main/java/coveladder/core/LoadReports.java
+++ b/core/src/main/java/coveladder/core/LoadReports.java
@@ -14,9 +14,10 @@
   /**
    * Load figures that an exchange reported.
    *
-   * @param requestedReduction share of set-ups that senders should hold back; NaN if not reported
+   * @param requestedReduction share of set-ups that senders are asked not to send; NaN if not
+   *     reported
    * @param maxSetupRate set-ups per second that it can accept; NaN if not reported
-   * @param utilization busy share of its processor; NaN if not reported
+   * @param utilization share of time that its processor is busy; NaN if not reported
    * @param queued messages that wait for its processor; NaN if not reported
    * @param sequence orders the reports of one exchange
    * @param validUntil clock at which the report expires, ms
--- a/core/src/main/java/coveladder/core/TrackedCall.java
+++ b/core/src/main/java/coveladder/core/TrackedCall.java
@@ -20,7 +20,7 @@
     this.acceptedAt = acceptedAt;
   }
 
-  /** A set-up of the call that has not ended. */
+  /** An attempt of the call that has not ended: outstanding, or answered and established. */
   static final class Attempt {
     final int number;
     final ExchangeDirectory.Entry exchange;
@@ -99,6 +99,7 @@
     return lastReason;
   }
 
+  /** Counts one more attempt and returns its number, from 0. */
   int nextAttempt() {
     return attemptCount++;
   }
@@ -115,6 +116,7 @@
     }
   }
 
+  /** Marks the final answer as given, or as no longer due because the caller has left. */
   void markAnswered(boolean isEstablished) {
     answered = true;
     established = isEstablished;
--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -39,25 +39,34 @@
   /**
    * Restores both legs of an established call.
    *
-   * @param answerDue whether a 2xx not known to be acknowledged is retransmitted until it is
+   * @param answerDue whether the 2xx, if it is not known to be acknowledged, is retransmitted until
+   *     it is
    * @param incarnation number of this run of the controller, for sequence numbers that no earlier
    *     run has used
    */
   void resume(SavedCall saved, boolean answerDue, int incarnation);
 
-  /** Asks one end of a restored call whether the call still exists there. */
+  /**
+   * Asks one end of a restored call whether the call still exists there.
+   *
+   * @param callerSide whether the caller is asked; otherwise the exchange
+   */
   void verify(String call, boolean callerSide, Consumer<LegStatus> result);
 
-  /** Releases a restored call that no longer exists at one end. */
+  /**
+   * Releases a restored call that no longer exists at one end.
+   *
+   * @param callerSide whether it no longer exists at the caller; otherwise at the exchange
+   */
   void releaseLost(String call, boolean callerSide);
 
   /** Whether a call exists at one of its ends. */
   enum LegStatus {
-    /** The end confirmed it, or its answer implies that the call exists. */
+    /** The end confirmed it, or its answer implies that the call exists, as "busy" does. */
     ACTIVE,
     /** The end does not know the call. */
     GONE,
-    /** The end did not answer or could not be reached: it may be starting, too. */
+    /** The end did not answer or could not be reached: it may be restarting, too. */
     UNKNOWN
   }
 
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -20,7 +20,9 @@
  */
 public final class Recovery {
   private static final int MAX_REQUESTS_PER_END = 3;
-  private static final double RETRY_BACKOFF_MILLIS = 5_000;
+
+  /** Delay of the first repeated request to an end, ms; each further one waits that much longer. */
+  private static final double RETRY_BACKOFF_STEP_MILLIS = 5_000;
 
   private final CallController controller;
   private final WriteAheadSignalling signalling;
@@ -112,7 +114,11 @@
     unfinishedVerifications += 2;
   }
 
-  /** Restores the caller's leg at once, so that no retransmitted INVITE counts as a new call. */
+  /**
+   * Restores the caller's leg at once, so that no retransmitted INVITE counts as a new call. If the
+   * store is out of date, the caller is recorded as not known to wait, see {@link
+   * #isCallerWaiting}.
+   */
   private void restoreInterrupted(SavedCall saved) {
     InterruptedCall interrupted = new InterruptedCall(outOfDate ? saved.withoutDeadline() : saved);
     if (outOfDate) {
@@ -125,7 +131,10 @@
     interruptedCalls.add(interrupted);
   }
 
-  /** The caller cancels; one that has its final answer, or is about to get it, gets no other. */
+  /**
+   * The caller cancels. One that has a final answer gets that answer again; one that is about to
+   * get it, or has cancelled before, gets no other.
+   */
   private void callerCancelled(InterruptedCall interrupted, Runnable sendAnswer) {
     if (interrupted.saved.hasAnswer() && !interrupted.answerInProgress) {
       legs.resendFinalAnswer(interrupted.saved);
@@ -135,7 +144,10 @@
     }
   }
 
-  /** A caller that retransmits its INVITE has no answer, even if its record is out of date. */
+  /**
+   * Answers a caller that was not known to wait: since it retransmits its INVITE, it has no answer,
+   * even if its record is out of date.
+   */
   private void inviteRetransmitted(InterruptedCall interrupted) {
     if (interrupted.saved.deadline() == 0 && !interrupted.saved.hasAnswer()) {
       refuseInterrupted(interrupted);
@@ -218,12 +230,13 @@
 
   /**
    * Whether the caller is known to wait. Only then may it get an answer: one that has left would
-   * get it late. Whether a 2xx that was about to be sent arrived is found by verifying the call.
+   * get it late. Whether a 2xx that was about to be sent has arrived is found by verifying the
+   * call.
    *
    * <p>A store that is out of date may record as a pending set-up a call that has been answered
    * since. It must not be answered a second time, neither now nor after the next crash, when the
-   * store is up to date again. A deadline further away than the caller's whole patience means that
-   * the clock was set back.
+   * store is up to date again. A deadline further away than the caller's whole patience, with 1 ms
+   * for rounding, means that the clock was set back.
    */
   private boolean isCallerWaiting(SavedCall saved) {
     long patienceLeft = saved.deadline() - legs.wallClockMillis();
@@ -238,7 +251,11 @@
 
   // ---- Established calls ----------------------------------------------------------------------
 
-  /** Verifies the next established call: its ends may have left while the controller was down. */
+  /**
+   * Verifies one end of the next established call: it may have left while the controller was down.
+   * As a call has two ends, the interval is half of that between calls; it is doubled while
+   * interrupted calls remain, which have priority.
+   */
   private void verifyNext() {
     Verification next = verifications.poll();
     if (next != null) {
@@ -268,7 +285,7 @@
       Verification next =
           new Verification(
               verification.call(), verification.callerSide(), verification.requestsSent() + 1);
-      scheduler.schedule(RETRY_BACKOFF_MILLIS * next.requestsSent(), () -> verify(next));
+      scheduler.schedule(RETRY_BACKOFF_STEP_MILLIS * next.requestsSent(), () -> verify(next));
     } else {
       unfinishedVerifications--;
       releasedCalls++;
--- a/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
+++ b/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
@@ -2,13 +2,17 @@
 
 /**
  * The rate at which recovery may send. It starts at its budget. While the local processor is cold,
- * recovery gets only the share of the budget that matches the processor's capacity. Each time that
- * processor rejects something, the rate is halved, down to a tenth of the budget, and then grows
- * back. A region whose exchanges all restart together thus neither overloads processors that have
- * just started nor takes their capacity from new calls.
+ * that is, has started recently and lacks its full capacity, recovery gets only the share of the
+ * budget that matches the processor's capacity. Each time that processor rejects something, the
+ * rate is halved, down to a tenth of the budget, and then grows back. A region whose exchanges all
+ * restart together thus neither overloads processors that have just started nor takes their
+ * capacity from new calls.
  */
 public final class RecoveryRate {
-  private static final double MIN_SHARE = 0.1;
+  /** Share of the budget below which the rate is not reduced by rejections. */
+  private static final double MIN_BUDGET_SHARE = 0.1;
+
+  /** Time in which the rate would grow from zero to its whole budget, ms. */
   private static final double FULL_REGROWTH_MILLIS = 10_000;
 
   private final Budget budget;
@@ -21,7 +25,8 @@
    * The limits of recovery traffic.
    *
    * @param callsPerSecond calls per second that are cancelled, answered again or verified
-   * @param verifyDelayMillis time until the first call is verified, ms: peers restart, too
+   * @param verifyDelayMillis time from the start until the first call is verified, ms: peers may be
+   *     restarting, too
    */
   public record Budget(double callsPerSecond, double verifyDelayMillis) {
     /** Checks that the values are in range. */
@@ -56,7 +61,7 @@
 
   /** The local processor rejected something: halves the rate. */
   public void rejectedByProcessor(double now) {
-    budgetShare = Math.max(MIN_SHARE, budgetShare(now) / 2);
+    budgetShare = Math.max(MIN_BUDGET_SHARE, budgetShare(now) / 2);
     changedAt = now;
   }
 
--- a/core/src/main/java/coveladder/core/recovery/SavedCall.java
+++ b/core/src/main/java/coveladder/core/recovery/SavedCall.java
@@ -30,6 +30,7 @@
   /** The attempt number of a call without an outstanding or answered attempt. */
   public static final int NONE = -1;
 
+  /** The deadline of a call that its caller has cancelled. */
   private static final long CALLED_OFF = -1;
 
   /** Progress of a call. A call without any attempt has no external effect and is not stored. */
--- a/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -217,9 +217,9 @@
 
   /**
    * The controller no longer tracks a call. Its record stays stored until both ends have answered
-   * the release, so that after a crash recovery can ask an end that missed it. If the removal
-   * itself is lost in a crash, recovery finds by asking the ends that an established call is gone,
-   * and sends a final answer again unchanged.
+   * the release, so that after a crash recovery can ask an end that missed it. A crash that loses
+   * the removal itself does no harm: recovery asks the ends of an established call and finds that
+   * it is gone, and sends a final answer again unchanged.
    */
   public void callRemoved(String call) {
     Entry entry = entries.get(call);
--- a/core/src/test/java/coveladder/core/ExchangeDirectoryTest.java
+++ b/core/src/test/java/coveladder/core/ExchangeDirectoryTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests updates of the exchange directory, lost ones included, and lookups in it. */
 class ExchangeDirectoryTest {
   private final ExchangeDirectory directory = new ExchangeDirectory();
 
--- a/core/src/test/java/coveladder/core/VirtualClock.java
+++ b/core/src/test/java/coveladder/core/VirtualClock.java
@@ -13,6 +13,7 @@
     now = start;
   }
 
+  /** A scheduled task, in an array of one element that is set to null on cancellation. */
   private record ScheduledTask(double dueAt, long sequence, Runnable[] task)
       implements Comparable<ScheduledTask> {
     @Override
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -95,7 +95,10 @@
     final WriteAheadSignalling signalling;
     final CallController controller;
     final Recovery recovery;
+
+    /** Scheduled tasks, each as its due time in ms and the sequence number that keys its task. */
     private final PriorityQueue<double[]> queue = new PriorityQueue<>((a, b) -> compareDue(a, b));
+
     private final Map<Double, Runnable> tasks = new HashMap<>();
     private double now;
     private double nextSequence;
@@ -442,7 +445,7 @@
   /**
    * Runs the script and kills each run of the controller at the given boundary.
    *
-   * @return number of boundaries that the run which completed the script passed
+   * @return number of boundaries that the last run passed, the one that completed the script
    */
   private int runScript(long seed, boolean diskFails, int... killBoundaries) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/core/src/test/java/coveladder/core/recovery/MemoryStore.java
+++ b/core/src/test/java/coveladder/core/recovery/MemoryStore.java
@@ -15,23 +15,28 @@
   private final Map<String, SavedCall> persisted = new LinkedHashMap<>();
   private final List<Runnable> unsyncedChanges = new ArrayList<>();
   private final List<Consumer<Boolean>> syncCallbacks = new ArrayList<>();
-  private final Runnable atBoundary;
+  private final Runnable boundaryHook;
   boolean diskFails;
 
-  MemoryStore(Runnable atBoundary) {
-    this.atBoundary = atBoundary;
+  /**
+   * Creates an empty store.
+   *
+   * @param boundaryHook called at each boundary of a write, where a test may kill the controller
+   */
+  MemoryStore(Runnable boundaryHook) {
+    this.boundaryHook = boundaryHook;
   }
 
   @Override
   public void put(SavedCall call) {
-    atBoundary.run();
+    boundaryHook.run();
     unsyncedChanges.add(() -> persisted.put(call.id(), call));
-    atBoundary.run();
+    boundaryHook.run();
   }
 
   @Override
   public void remove(String id) {
-    atBoundary.run();
+    boundaryHook.run();
     unsyncedChanges.add(() -> persisted.remove(id));
   }
 
@@ -59,7 +64,7 @@
       unsyncedChanges.forEach(Runnable::run);
       unsyncedChanges.clear();
     }
-    atBoundary.run();
+    boundaryHook.run();
     callbacks.forEach(whenSynced -> whenSynced.accept(!diskFails));
   }
 
--- a/net/src/main/java/coveladder/net/EventLoop.java
+++ b/net/src/main/java/coveladder/net/EventLoop.java
@@ -137,7 +137,7 @@
 
   /**
    * Submits a task that runs before all other queued tasks. The queue of urgent tasks is unbounded:
-   * the caller limits their number.
+   * it is meant for few tasks, whose number the caller limits.
    */
   public void executeUrgent(Runnable task) {
     urgentTasks.add(task);
@@ -154,6 +154,7 @@
     execute(this::runPriorityTasks);
   }
 
+  /** Runs all urgent tasks, then at most one batch of prioritized tasks. */
   private void runPriorityTasks() {
     for (Runnable task = urgentTasks.poll(); task != null; task = urgentTasks.poll()) {
       runGuarded(task);
@@ -251,9 +252,9 @@
   }
 
   /**
-   * Yields to the selector threads after a stall. When this thread stalled, the selectors stalled
-   * too, and input that arrived meanwhile is unread: they get time to read it, so that priority
-   * tasks run before timers and tasks act on outdated state.
+   * Yields to the selector threads after a stall, then runs the priority tasks. When this thread
+   * stalled, the selectors stalled too, and input that arrived meanwhile is unread: they get time
+   * to read it, so that priority tasks run before timers and tasks act on outdated state.
    *
    * @param startNanos start of this iteration, ns
    * @param waitNanos longest time for which this iteration meant to wait for a task, ns
--- a/net/src/main/java/coveladder/net/SocketNode.java
+++ b/net/src/main/java/coveladder/net/SocketNode.java
@@ -27,6 +27,7 @@
  * re-established when needed. The element runs on the event loop thread.
  */
 public final class SocketNode implements SipHost, AutoCloseable {
+  /** Maximum number of attempts to find a port that is free for both TCP and UDP. */
   private static final int MAX_BIND_ATTEMPTS = 50;
 
   /** Keep-alive ping and pong (RFC 5626 section 3.5.1). */
@@ -175,7 +176,7 @@
    * Starts to connect.
    *
    * @return null if the node is unbound, has too many connections or cannot resolve the host; the
-   *     element then hears of a refused connection
+   *     element is then notified of a refused connection
    */
   private Stream connect(Hop to) {
     InetSocketAddress address = new InetSocketAddress(to.host(), to.port());
@@ -316,6 +317,7 @@
     @Override
     public void read(Stream stream, byte[] octets, double arrivedMillis) {
       StreamState state = (StreamState) stream.attachment();
+      // Input as short as a ping or pong counts as the answer to an outstanding ping.
       if (octets.length <= PING.length) {
         loop.offer(() -> state.awaitingPong = false);
       }
--- a/net/src/main/java/coveladder/net/Streams.java
+++ b/net/src/main/java/coveladder/net/Streams.java
@@ -23,8 +23,8 @@
 
 /**
  * Manages the stream connections of one node, independent of their protocol: connects, accepts,
- * limits, closes and resets them. Everything except {@link Listener#accepting} and {@link
- * Listener#read} runs on the event loop thread.
+ * limits, closes and resets them. Everything runs on the event loop thread, except {@link
+ * Listener#accepting}, {@link Listener#read} and {@link Listener#prioritizesAccepted}.
  */
 public final class Streams {
   private static final Attribute<Stream> STREAM =
@@ -136,7 +136,7 @@
     return new ArrayList<>(streams);
   }
 
-  /** Starts to connect; the listener hears of the result later, even if the limit is reached. */
+  /** Starts to connect; the listener gets the result later, even if the limit is reached. */
   public Stream connect(InetSocketAddress to) {
     Stream stream = new Stream(to, true, limits.maxQueuedBytes(), totalQueuedBytes);
     streams.add(stream);
@@ -149,13 +149,13 @@
     return stream;
   }
 
-  /** Closes a connection once its queued bytes are written; the listener hears no more of it. */
+  /** Closes a connection once its queued bytes are written, without notifying the listener. */
   public void close(Stream stream) {
     remove(stream);
     stream.closeWhenSent();
   }
 
-  /** Resets a connection; the listener hears no more of it. */
+  /** Resets a connection without notifying the listener. */
   public void reset(Stream stream) {
     remove(stream);
     stream.abort();
--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -20,6 +20,8 @@
 
   private static final String OPEN_COUNT_KEY = "lives";
   private static final int TARGET_FILL_PERCENT = 60;
+
+  /** Maximum amount of records moved by one compaction, bytes. */
   private static final int MAX_COMPACTION_BYTES = 1 << 20;
 
   private final MVStore store;
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -22,18 +22,22 @@
  * Stores calls in an MVStore file with group commit: a writer thread takes all queued changes,
  * commits and syncs them once, and then notifies every caller that waits for a sync.
  *
- * <p>A disk failure is never silent: the folder is marked as behind, waiting callers are told that
- * the sync failed, and every few seconds the store tries to create a new file, into which the
- * controller writes all calls again.
+ * <p>A disk failure is never silent: the folder is marked as out of date, waiting callers are told
+ * that the sync failed, and every five seconds the store tries to create a new file, into which the
+ * controller writes all calls again. The messages for operators call a folder "behind" if it is out
+ * of date.
  */
 public final class DiskStore implements CallStore, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DiskStore.class);
 
-  /** Value of {@link WriteRequest#rewriteAttempt} for a request made by {@link #caughtUp}. */
-  private static final int CAUGHT_UP = -1;
+  /** Value of {@link WriteRequest#rewriteAttempt} for a request made by {@link #markUpToDate}. */
+  private static final int MARK_UP_TO_DATE = -1;
+
+  private static final int MAX_BATCH_REQUESTS = 4_096;
+
+  /** Maximum number of requests that wait for the writer; a full queue counts as a disk failure. */
+  private static final int MAX_QUEUED_REQUESTS = 100_000;
 
-  private static final int MAX_BATCH_SIZE = 4_096;
-  private static final int QUEUE_CAPACITY = 100_000;
   private static final long CLOSE_TIMEOUT_MILLIS = 10_000;
   private static final long COMPACTION_INTERVAL_NANOS = 1_000_000_000;
 
@@ -42,8 +46,8 @@
   private final Executor callbackExecutor;
   private final long retryIntervalMillis;
   private final int retentionMillis;
-  private final Contents found;
-  private final BlockingQueue<WriteRequest> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+  private final Contents initialContents;
+  private final BlockingQueue<WriteRequest> queue = new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS);
   private final Thread writer = new Thread(this::runWriter, "store");
   private final FileChannel lock;
   private CallFile callFile;
@@ -52,7 +56,7 @@
   private volatile String failureReason = "";
   private volatile long commitCount;
   private volatile long failureCount;
-  private long lastAttemptNanos;
+  private long lastRetryNanos;
   private int rewriteAttempts;
   private volatile boolean rewriting;
   private long lastCompactionNanos;
@@ -65,8 +69,8 @@
    * @param call the call to store; null: the call is removed, or this is not a change
    * @param onSynced told whether all earlier changes are on disk; null: nobody waits
    * @param rewriteAttempt number of the attempt with a new file for which all calls have now been
-   *     queued again; 0: this is not a marker; {@link #CAUGHT_UP}: the state found at the opening
-   *     has been brought up to date
+   *     queued again; 0: this is not a marker; {@link #MARK_UP_TO_DATE}: the state found at the
+   *     opening has been brought up to date
    */
   private record WriteRequest(
       String id, SavedCall call, Consumer<Boolean> onSynced, int rewriteAttempt) {}
@@ -83,7 +87,7 @@
   /**
    * Opens a state folder, creating it if it does not exist, and reads all calls in it.
    *
-   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #begunAnew}
+   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #onRecreated}
    */
   public DiskStore(Path folder, Executor callbackExecutor)
       throws IOException, UnusableFolderException {
@@ -93,7 +97,7 @@
   /**
    * Opens a state folder with the given timing and file system.
    *
-   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #begunAnew}
+   * @param callbackExecutor runs the callbacks of {@link #sync} and {@link #onRecreated}
    * @param retryIntervalMillis time between attempts to create a new file after a failure, ms
    * @param retentionMillis time until freed space in the file is reused, ms
    * @param fileNameMapper maps a path to the file name that MVStore opens
@@ -115,15 +119,16 @@
       throw new UnusableFolderException(path + " is in use by another process; end that one first");
     }
     List<String> damaged = new ArrayList<>();
-    boolean behind = folder.isBehind();
+    boolean outOfDate = folder.isOutOfDate();
     this.callFile = openOrReplaceCallFile(damaged);
     List<SavedCall> calls = callFile.readAllAndQuarantine(folder, damaged);
     int openCount = callFile.incrementOpenCount();
     callFile.commit();
-    if (!behind) {
-      folder.markInStep();
+    if (!outOfDate) {
+      folder.markUpToDate();
     }
-    this.found = new Contents(List.copyOf(calls), List.copyOf(damaged), behind, openCount);
+    this.initialContents =
+        new Contents(List.copyOf(calls), List.copyOf(damaged), outOfDate, openCount);
     writer.setDaemon(true);
     writer.start();
   }
@@ -151,7 +156,7 @@
 
   @Override
   public Contents initialContents() {
-    return found;
+    return initialContents;
   }
 
   @Override
@@ -161,7 +166,7 @@
 
   @Override
   public void markUpToDate() {
-    enqueue(new WriteRequest(null, null, null, CAUGHT_UP));
+    enqueue(new WriteRequest(null, null, null, MARK_UP_TO_DATE));
   }
 
   @Override
@@ -186,7 +191,7 @@
   private boolean enqueue(WriteRequest request) {
     boolean accepted = queue.offer(request);
     if (!accepted) {
-      recordFailure("more than " + QUEUE_CAPACITY + " changes wait for the disk");
+      recordFailure("more than " + MAX_QUEUED_REQUESTS + " changes wait for the disk");
       if (request.onSynced() != null) {
         callbackExecutor.execute(() -> request.onSynced().accept(false));
       }
@@ -197,13 +202,13 @@
   // ---- Writer thread ------------------------------------------------------------------------
 
   private void runWriter() {
-    List<WriteRequest> batch = new ArrayList<>(MAX_BATCH_SIZE);
+    List<WriteRequest> batch = new ArrayList<>(MAX_BATCH_REQUESTS);
     while (running || !queue.isEmpty()) {
       try {
         WriteRequest first = queue.poll(50, TimeUnit.MILLISECONDS);
         if (first != null) {
           batch.add(first);
-          queue.drainTo(batch, MAX_BATCH_SIZE - 1);
+          queue.drainTo(batch, MAX_BATCH_REQUESTS - 1);
         }
         processBatch(batch);
         batch.clear();
@@ -222,8 +227,8 @@
     for (WriteRequest request : batch) {
       if (request.onSynced() != null) {
         callbackExecutor.execute(() -> request.onSynced().accept(durable));
-      } else if (request.rewriteAttempt() == CAUGHT_UP && durable) {
-        markInStep();
+      } else if (request.rewriteAttempt() == MARK_UP_TO_DATE && durable) {
+        markFolderUpToDate();
       } else if (request.rewriteAttempt() == rewriteAttempts
           && request.rewriteAttempt() > 0
           && callFile != null) {
@@ -266,8 +271,9 @@
   // ---- Failure and rewrite ------------------------------------------------------------------
 
   /**
-   * Records why the disk failed and marks the folder as behind. Further failures are ignored until
-   * the store works again. If the folder cannot be marked, the log tells the operator to empty it.
+   * Records why the disk failed and marks the folder as out of date. Further failures are ignored
+   * until the store works again. If the folder cannot be marked, the log tells the operator to
+   * empty it.
    */
   private synchronized void recordFailure(String reason) {
     if (!failureReason.isEmpty()) {
@@ -277,7 +283,7 @@
     failureCount++;
     LOG.error("calls are not kept: {}; they go on, and a new file is tried", reason);
     try {
-      folder.markBehind();
+      folder.markOutOfDate();
     } catch (IOException e) {
       LOG.error(
           "{} cannot be marked as behind: empty it before the next start: {}",
@@ -293,7 +299,7 @@
       callFile.closeWithoutWriting();
       callFile = null;
     }
-    lastAttemptNanos = System.nanoTime();
+    lastRetryNanos = System.nanoTime();
   }
 
   /**
@@ -304,14 +310,14 @@
     if (callFile != null) {
       abandonCallFile();
     }
-    if (System.nanoTime() - lastAttemptNanos < retryIntervalMillis * 1_000_000 || !running) {
+    if (System.nanoTime() - lastRetryNanos < retryIntervalMillis * 1_000_000 || !running) {
       return;
     }
-    lastAttemptNanos = System.nanoTime();
+    lastRetryNanos = System.nanoTime();
     try {
       Files.deleteIfExists(folder.newCallFile());
       callFile = openCallFile(folder.newCallFile());
-      callFile.setOpenCount(found.incarnation());
+      callFile.setOpenCount(initialContents.incarnation());
       rewriting = true;
       rewriteAttempts++;
       int attempt = rewriteAttempts;
@@ -329,9 +335,9 @@
     }
   }
 
-  private void markInStep() {
+  private void markFolderUpToDate() {
     try {
-      folder.markInStep();
+      folder.markUpToDate();
     } catch (IOException e) {
       recordFailure(e.getMessage());
     }
@@ -344,7 +350,7 @@
   private void installRewrittenFile() {
     try {
       folder.installNewCallFile();
-      folder.markInStep();
+      folder.markUpToDate();
       rewriting = false;
       failureReason = "";
       LOG.info("calls are kept again");
--- a/store/src/main/java/coveladder/store/PersistentMonotonicClock.java
+++ b/store/src/main/java/coveladder/store/PersistentMonotonicClock.java
@@ -10,7 +10,8 @@
 /**
  * A clock in milliseconds that continues across restarts of the process and is unaffected when the
  * wall clock is set. It is the machine's monotonic clock, which runs until the next boot, plus its
- * offset from the wall clock. The offset is stored in a file and determined again after each boot.
+ * offset from the wall clock. The offset is determined at the first start after each boot and
+ * stored in a file.
  */
 public final class PersistentMonotonicClock implements LongSupplier {
   private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
--- a/store/src/main/java/coveladder/store/StateFolder.java
+++ b/store/src/main/java/coveladder/store/StateFolder.java
@@ -18,7 +18,7 @@
  *   <li>{@code calls.mv} holds the calls.
  *   <li>{@code in-step} is a marker that exists while the call file is up to date. It is deleted
  *       when the disk fails, since a deletion works on a full disk too. Without it the folder is
- *       behind: some calls continued without being stored.
+ *       out of date, or "behind" in messages: some calls continued without being stored.
  *   <li>{@code set-aside.txt} is the quarantine for records that could not be read.
  *   <li>{@code clock} belongs to {@link PersistentMonotonicClock}.
  *   <li>{@code lock} is the lock file.
@@ -27,7 +27,7 @@
 final class StateFolder {
   private static final String CALL_FILE = "calls.mv";
   private static final String NEW_CALL_FILE = "calls.mv.new";
-  private static final String IN_STEP_MARKER = "in-step";
+  private static final String UP_TO_DATE_MARKER = "in-step";
   private static final String QUARANTINE_FILE = "set-aside.txt";
   private static final long MAX_QUARANTINE_BYTES = 64L << 20;
 
@@ -83,19 +83,19 @@
   }
 
   /** Returns whether calls may have continued without being stored since the last write. */
-  boolean isBehind() {
-    return hasCallFile() && !Files.exists(folder.resolve(IN_STEP_MARKER));
+  boolean isOutOfDate() {
+    return hasCallFile() && !Files.exists(folder.resolve(UP_TO_DATE_MARKER));
   }
 
-  void markInStep() throws IOException {
-    if (!Files.exists(folder.resolve(IN_STEP_MARKER))) {
-      Files.createFile(folder.resolve(IN_STEP_MARKER));
+  void markUpToDate() throws IOException {
+    if (!Files.exists(folder.resolve(UP_TO_DATE_MARKER))) {
+      Files.createFile(folder.resolve(UP_TO_DATE_MARKER));
       syncDirectory(folder);
     }
   }
 
-  void markBehind() throws IOException {
-    Files.deleteIfExists(folder.resolve(IN_STEP_MARKER));
+  void markOutOfDate() throws IOException {
+    Files.deleteIfExists(folder.resolve(UP_TO_DATE_MARKER));
     syncDirectory(folder);
   }
 
--- a/store/src/main/java/coveladder/store/StateFolderAdmin.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -25,7 +25,8 @@
    *
    * @param calls the calls that could be read
    * @param damagedRecords the records that could not be read, each as its call id and the reason
-   * @param behind whether calls continue, or continued, without being stored
+   * @param behind whether the folder is out of date: calls continue, or continued, without being
+   *     stored
    * @param sizeBytes size of the call file
    */
   public record Contents(
@@ -58,7 +59,7 @@
         List<String> damaged = new ArrayList<>();
         List<SavedCall> calls =
             file.readAll((id, reason) -> damaged.add("record of call " + id + ": " + reason));
-        return new Contents(calls, damaged, folder.isBehind(), Files.size(copy));
+        return new Contents(calls, damaged, folder.isOutOfDate(), Files.size(copy));
       } catch (MVStoreException e) {
         lastFailure = e;
       }
--- a/store/src/test/java/coveladder/store/DiskStoreTest.java
+++ b/store/src/test/java/coveladder/store/DiskStoreTest.java
@@ -48,7 +48,7 @@
   }
 
   /**
-   * A disk failure is reported to callers, and the folder stays marked as behind over restarts
+   * A disk failure is reported to callers, and the folder stays marked as out of date over restarts
    * until the controller has caught up.
    */
   @ParameterizedTest
@@ -274,6 +274,7 @@
         acknowledgedLengths.set(acknowledgedLengths.size() - 1, Files.size(file));
       }
       byte[] whole = Files.readAllBytes(file);
+      // One byte and three steps of 1365 bytes make a block of 4096 bytes.
       for (int length = 0; length <= whole.length; length += length % 4096 == 0 ? 1 : 1365) {
         assertHoldsAcknowledgedState(
             Arrays.copyOf(whole, length), length, states, acknowledgedLengths);
