--- a/core/src/main/java/coveladder/core/ExchangeDirectory.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -153,7 +153,7 @@
     return -1;
   }
 
-  /** Clock at which an exchange was first reported as closed, ms; infinite if in service. */
+  /** Clock at which an exchange was first reported as not in service, ms; otherwise infinite. */
   public double closedSince(String id) {
     return closedAt.getOrDefault(id, Double.POSITIVE_INFINITY);
   }
--- a/core/src/main/java/coveladder/core/FinalAnswer.java
+++ b/core/src/main/java/coveladder/core/FinalAnswer.java
@@ -8,7 +8,7 @@
  * @param kind the kind of answer
  * @param retryAfterMillis time that the caller is asked to wait before it retries, ms; 0: no
  *     request
- * @param reason why the last attempt failed; NONE if there was no attempt
+ * @param reason why the last attempt failed; NONE if there was no attempt or no reason was given
  */
 public record FinalAnswer(Kind kind, double retryAfterMillis, Reason reason) {
 
--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -21,8 +21,8 @@
   private static final String OPEN_COUNT_KEY = "lives";
   private static final int TARGET_FILL_PERCENT = 60;
 
-  /** Maximum amount of records moved by one compaction, bytes. */
-  private static final int MAX_COMPACTION_BYTES = 1 << 20;
+  /** Approximate amount of data moved by one compaction, bytes. */
+  private static final int COMPACTION_STEP_BYTES = 1 << 20;
 
   private final MVStore store;
   private final MVMap<String, byte[]> calls;
@@ -95,7 +95,7 @@
    * size stays proportional to the stored calls, however many have been added and removed.
    */
   void compact() {
-    store.compact(TARGET_FILL_PERCENT, MAX_COMPACTION_BYTES);
+    store.compact(TARGET_FILL_PERCENT, COMPACTION_STEP_BYTES);
     commit();
   }
 
