--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -66,7 +66,7 @@
   }
 
   /** Resumes, as caller, a call that was established before a restart. */
-  void resume(Hop hop, SipResponse okResponse, Dialog.Progress stored) {
+  void resume(Hop hop, SipResponse okResponse, Dialog.State stored) {
     peerHop = hop;
     replaceDialog(Dialog.ofCaller(invite, okResponse));
     dialog.resume(stored);
@@ -79,7 +79,7 @@
    * @param okResponse the 2xx, retransmitted until its ACK arrives; null if the ACK had arrived
    *     before the restart
    */
-  void resume(String toHeader, SipResponse okResponse, Dialog.Progress stored) {
+  void resume(String toHeader, SipResponse okResponse, Dialog.State stored) {
     peerHop = serverTransaction.source();
     replaceDialog(Dialog.ofCallee(invite, toHeader, userAgent.contact(peerHop)));
     if (okResponse == null) {
@@ -103,8 +103,8 @@
   }
 
   /** The changeable state of the dialog; null before the dialog exists. */
-  public Dialog.Progress progress() {
-    return dialog == null ? null : dialog.progress();
+  public Dialog.State dialogState() {
+    return dialog == null ? null : dialog.state();
   }
 
   /**
--- a/sip/src/main/java/coveladder/sip/ClientTransaction.java
+++ b/sip/src/main/java/coveladder/sip/ClientTransaction.java
@@ -135,7 +135,7 @@
     Via via = request.via();
     Hop local = layer.host().localHop(newHop.transport());
     String transportName = newHop.transport().name();
-    request.topVia(new Via(transportName, local.host(), local.port(), via.params()));
+    request.replaceTopVia(new Via(transportName, local.host(), local.port(), via.params()));
     hop = newHop;
     encodedRequest = null;
   }
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -89,7 +89,7 @@
    * @param remoteSequence sequence number of the last request received
    * @param remoteTarget URI that requests are sent to
    */
-  public record Progress(long localSequence, long remoteSequence, String remoteTarget) {
+  public record State(long localSequence, long remoteSequence, String remoteTarget) {
 
     /**
      * The same state for a later incarnation of this process. The local sequence number skips all
@@ -98,19 +98,19 @@
      *
      * @param incarnation number of the incarnation, from 1 on, increasing with each restart
      */
-    public Progress forIncarnation(int incarnation) {
-      return new Progress(
+    public State forIncarnation(int incarnation) {
+      return new State(
           localSequence + SEQUENCE_GAP_PER_INCARNATION * incarnation, remoteSequence, remoteTarget);
     }
   }
 
   /** The changeable state of the dialog. */
-  public Progress progress() {
-    return new Progress(localSequence, remoteSequence, remoteTarget);
+  public State state() {
+    return new State(localSequence, remoteSequence, remoteTarget);
   }
 
   /** Restores the stored state. */
-  public void resume(Progress stored) {
+  public void resume(State stored) {
     localSequence = stored.localSequence();
     remoteSequence = stored.remoteSequence();
     remoteTarget = stored.remoteTarget();
--- a/sip/src/main/java/coveladder/sip/OverloadControl.java
+++ b/sip/src/main/java/coveladder/sip/OverloadControl.java
@@ -22,7 +22,7 @@
       params.set("oc-algo", rateBased ? "\"rate\"" : "\"loss\"");
       params.set("oc-validity", Long.toString(Math.round(validityMillis)));
       params.set("oc-seq", String.format(java.util.Locale.ROOT, "%.3f", sequence));
-      response.topVia(via);
+      response.replaceTopVia(via);
     }
   }
 }
--- a/sip/src/main/java/coveladder/sip/SipMessage.java
+++ b/sip/src/main/java/coveladder/sip/SipMessage.java
@@ -149,7 +149,7 @@
   }
 
   /** Replaces the topmost Via. */
-  public void topVia(Via via) {
+  public void replaceTopVia(Via via) {
     clearParsedHeaders();
     int index = indexOf("Via", 0);
     String line = values.get(index);
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -287,7 +287,7 @@
       if (rportRequested) {
         via.params().set("rport", Integer.toString(source.port()));
       }
-      request.topVia(via);
+      request.replaceTopVia(via);
     }
   }
 
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -162,7 +162,7 @@
       SipRequest invite,
       Hop hop,
       SipResponse okResponse,
-      Dialog.Progress stored,
+      Dialog.State stored,
       CallListener listener) {
     CallLeg leg = new CallLeg(this, invite, listener);
     leg.resume(hop, okResponse, stored);
@@ -180,7 +180,7 @@
       Hop source,
       SipResponse okResponse,
       boolean acknowledged,
-      Dialog.Progress stored,
+      Dialog.State stored,
       CallListener listener) {
     InviteServerTransaction server = transactionLayer.resumeInvite(invite, source);
     CallLeg leg = new CallLeg(this, server, okResponse.toTag(), listener);
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -48,7 +48,7 @@
 
   @Test
   void restartedCallerCanReleaseTheCall() {
-    Dialog.Progress stored = establishedCall().progress();
+    Dialog.State stored = establishedCall().dialogState();
     FakeNet.Endpoint restarted = restart("a");
     CallLeg leg =
         restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
@@ -59,7 +59,7 @@
 
   @Test
   void restartedCallerIsReleasedByTheCallee() {
-    Dialog.Progress stored = establishedCall().progress();
+    Dialog.State stored = establishedCall().dialogState();
     FakeNet.Endpoint restarted = restart("a");
     restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
     b.calls.get(0).bye(null);
@@ -70,7 +70,7 @@
   @Test
   void restartedCallerAcknowledgesARetransmittedOk() {
     net.dropIf = s -> s.text().startsWith("ACK") && s.sentMillis() < 100;
-    Dialog.Progress stored = establishedCall().progress();
+    Dialog.State stored = establishedCall().dialogState();
     FakeNet.Endpoint restarted = restart("a");
     restarted.stack.userAgent().resumeCaller(invite(), TO_B, ok(), stored, restarted.listener);
     net.run(2_000);
@@ -84,7 +84,7 @@
     net.run(20);
     net.dropIf = s -> s.text().startsWith("SIP/2.0 200");
     b.calls.get(0).accept(b.calls.get(0).response(200));
-    Dialog.Progress stored = b.calls.get(0).progress();
+    Dialog.State stored = b.calls.get(0).dialogState();
     FakeNet.Endpoint restarted = restart("b");
     net.dropIf = s -> false;
     restarted
@@ -112,7 +112,7 @@
   @Test
   void restartedCalleeKeepsAnAcknowledgedCall() {
     establishedCall();
-    Dialog.Progress stored = b.calls.get(0).progress();
+    Dialog.State stored = b.calls.get(0).dialogState();
     FakeNet.Endpoint restarted = restart("b");
     CallLeg leg =
         restarted
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -36,7 +36,7 @@
     String localTag,
     String remoteTag,
     boolean acknowledged,
-    Dialog.Progress progress,
+    Dialog.State progress,
     long sessionIntervalSeconds,
     byte[] invite,
     byte[] answer) {
@@ -88,9 +88,9 @@
       String localTag = data.readUTF();
       String remoteTag = data.readUTF();
       boolean acknowledged = data.readBoolean();
-      Dialog.Progress progress =
+      Dialog.State progress =
           data.readBoolean()
-              ? new Dialog.Progress(data.readLong(), data.readLong(), data.readUTF())
+              ? new Dialog.State(data.readLong(), data.readLong(), data.readUTF())
               : null;
       long sessionIntervalSeconds = data.readLong();
       byte[] invite = withMessages ? data.readNBytes(data.readInt()) : EMPTY;
@@ -112,7 +112,7 @@
 
   /** A copy with the changed state of the dialog; the interval is in s. */
   LegRecord withDialogState(
-      boolean newAcknowledged, Dialog.Progress newProgress, long newIntervalSeconds) {
+      boolean newAcknowledged, Dialog.State newProgress, long newIntervalSeconds) {
     return new LegRecord(
         hop,
         callId,
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -92,7 +92,7 @@
         leg.localTag(),
         remoteTag == null ? "" : remoteTag,
         acknowledged,
-        leg.progress(),
+        leg.dialogState(),
         sessionIntervalSeconds,
         leg.invite().toBytes(),
         answer);
@@ -104,7 +104,7 @@
     CallLeg leg = callerSide ? bridge.callerLeg() : bridge.attemptLeg();
     boolean acknowledged = leg.state() == CallLeg.State.CONFIRMED;
     return LegRecord.decode(encodedLeg)
-        .withDialogState(acknowledged, leg.progress(), bridge.sessionIntervalSeconds())
+        .withDialogState(acknowledged, leg.dialogState(), bridge.sessionIntervalSeconds())
         .encode();
   }
 
@@ -206,10 +206,10 @@
   }
 
   /** The dialog state that an INVITE gives, for a leg stored before its answer was sent. */
-  private static Dialog.Progress initialProgress(LegRecord callerRecord) {
+  private static Dialog.State initialProgress(LegRecord callerRecord) {
     NameAddr contact = callerRecord.parseInvite().addressHeader("Contact");
     String target = contact == null ? callerRecord.parseInvite().from().uri() : contact.uri();
-    return new Dialog.Progress(0, callerRecord.parseInvite().cseq().number(), target);
+    return new Dialog.State(0, callerRecord.parseInvite().cseq().number(), target);
   }
 
   @Override
