--- a/sip/src/main/java/coveladder/sip/CallLeg.java
+++ b/sip/src/main/java/coveladder/sip/CallLeg.java
@@ -36,10 +36,20 @@
   private SipHost.Timer ackTimeoutTimer;
   private double retransmitIntervalMillis;
   private boolean releasing;
+
+  /** Whether a re-INVITE from this side awaits its final response. */
   private boolean localReinvitePending;
+
+  /** Whether a re-INVITE from the remote side is not answered yet. */
   private boolean remoteReinvitePending;
+
+  /** The local re-INVITE whose ACK waits for the answer to the SDP offer in its 2xx; or null. */
   private ReinviteResponseListener reinviteAwaitingAck;
+
+  /** The hop of the INVITE once its transaction is discarded or after a restart; otherwise null. */
   private Hop peerHop;
+
+  /** The 2xx to a remote re-INVITE that is retransmitted until its ACK arrives; or null. */
   private ReinviteOkRetransmitter unacknowledgedReinviteOk;
 
   /** Creates the caller's side; {@link #sendInvite} sends the INVITE. */
@@ -102,7 +112,7 @@
     return localTag;
   }
 
-  /** The changeable state of the dialog; null before the dialog exists. */
+  /** The part of the dialog that changes; null before the dialog exists. */
   public Dialog.State dialogState() {
     return dialog == null ? null : dialog.state();
   }
@@ -448,7 +458,7 @@
     public void response(SipResponse response) {
       if (answered) {
         if (response.isSuccess()) {
-          acknowledge();
+          sendAckUnlessDeferred();
         }
         return;
       }
@@ -456,17 +466,20 @@
         dialog.refresh(response);
         answered = true;
         reinviteAck = dialog.ack(reinvite.cseq().number());
-        boolean offered = reinvite.body().length == 0 && response.body().length > 0;
-        reinviteAwaitingAck = offered ? this : null;
-        if (!offered) {
-          acknowledge();
+        boolean okHasOffer = reinvite.body().length == 0 && response.body().length > 0;
+        reinviteAwaitingAck = okHasOffer ? this : null;
+        if (!okHasOffer) {
+          sendAckUnlessDeferred();
         }
       }
       localReinvitePending &= response.isProvisional();
       delegate.response(response);
     }
 
-    private void acknowledge() {
+    /**
+     * Sends the ACK, also again for a retransmitted 2xx, unless it still waits for the SDP answer.
+     */
+    private void sendAckUnlessDeferred() {
       if (reinviteAwaitingAck != this) {
         userAgent.resendAck(reinviteAck, dialog.hop());
       }
@@ -485,7 +498,7 @@
       ReinviteResponseListener pendingReinvite = reinviteAwaitingAck;
       reinviteAwaitingAck = null;
       copyBody(bodySource, pendingReinvite.reinviteAck);
-      pendingReinvite.acknowledge();
+      pendingReinvite.sendAckUnlessDeferred();
     }
   }
 
@@ -504,6 +517,10 @@
     }
   }
 
+  /**
+   * Handles a request whose sequence number is in order. A re-INVITE that collides with another
+   * INVITE is rejected (RFC 3261 section 14.2).
+   */
   private void handleInOrder(ServerTransaction transaction, SipRequest request) {
     if (request.is("BYE")) {
       transaction.respond(request.response(200));
@@ -560,6 +577,7 @@
     }
   }
 
+  /** Handles a BYE; on an early dialog it ends the call as a CANCEL does. */
   private void handleBye(SipRequest bye) {
     if (state == State.CALLING && !isCaller) {
       handleCancel();
@@ -569,6 +587,9 @@
     }
   }
 
+  /**
+   * Handles an ACK to the 2xx of the initial INVITE or of a re-INVITE; repeated ones are ignored.
+   */
   void handleAck(SipRequest ackRequest) {
     boolean first = state == State.ANSWERED && !isCaller;
     if (first) {
--- a/sip/src/main/java/coveladder/sip/Dialog.java
+++ b/sip/src/main/java/coveladder/sip/Dialog.java
@@ -10,6 +10,7 @@
  * <p>It creates requests within the dialog and checks the order of received ones.
  */
 public final class Dialog {
+  /** Sequence numbers that one incarnation may use without persisting them. */
   private static final long SEQUENCE_GAP_PER_INCARNATION = 1_000;
 
   private final String callId;
@@ -104,7 +105,7 @@
     }
   }
 
-  /** The changeable state of the dialog. */
+  /** The part of the dialog that changes. */
   public State state() {
     return new State(localSequence, remoteSequence, remoteTarget);
   }
--- a/sip/src/main/java/coveladder/sip/HeaderScanner.java
+++ b/sip/src/main/java/coveladder/sip/HeaderScanner.java
@@ -73,7 +73,7 @@
 
   /** Parses a decimal integer from 0 to {@code max}; returns -1 if the text is not one. */
   static long parseNumber(String text, long max) {
-    if (text.isEmpty() || text.length() > 18) {
+    if (text.isEmpty() || text.length() > 18) { // 19 digits may exceed a long.
       return -1;
     }
     long value = 0;
--- a/sip/src/main/java/coveladder/sip/HostPort.java
+++ b/sip/src/main/java/coveladder/sip/HostPort.java
@@ -22,12 +22,12 @@
     if (closingBracket > 0) {
       host = host.substring(1, closingBracket);
     }
-    return host.isEmpty() || port < 0 || !hasNoDelimiter(host)
+    return host.isEmpty() || port < 0 || !hasOnlyHostCharacters(host)
         ? null
         : new HostPort(host, (int) port);
   }
 
-  private static boolean hasNoDelimiter(String host) {
+  private static boolean hasOnlyHostCharacters(String host) {
     for (int i = 0; i < host.length(); i++) {
       char c = host.charAt(i);
       if (c <= ' ' || c == '<' || c == '>' || c == '"' || c == ',' || c == '@') {
--- a/sip/src/main/java/coveladder/sip/SipParser.java
+++ b/sip/src/main/java/coveladder/sip/SipParser.java
@@ -8,11 +8,11 @@
  * of times.
  */
 public final class SipParser {
-  private final int maxHeaders;
+  private final int maxHeaderLines;
 
-  /** Creates a parser that rejects messages with more than {@code maxHeaders} header lines. */
-  public SipParser(int maxHeaders) {
-    this.maxHeaders = maxHeaders;
+  /** Creates a parser that rejects messages with more than {@code maxHeaderLines} header lines. */
+  public SipParser(int maxHeaderLines) {
+    this.maxHeaderLines = maxHeaderLines;
   }
 
   /**
@@ -71,6 +71,11 @@
     return new String(data, from, to - from, StandardCharsets.ISO_8859_1);
   }
 
+  /**
+   * Parses the start line. If a request line has too many spaces, a space is left in the URI, and
+   * if it names another version, the URI is marked: {@link MessageValidator} and {@link #parse}
+   * reject the request only after its header fields, which a response needs, have been parsed.
+   */
   private static SipMessage parseStartLine(String written) throws SipParseException {
     String line = written.stripTrailing();
     int firstSpace = line.indexOf(' ');
@@ -119,8 +124,8 @@
       if (lineEnd == lineStart) {
         return Math.min(to, nextLineStart(data, lineEnd, to));
       }
-      if (++lineCount > maxHeaders) {
-        throw new SipParseException(400, "more than " + maxHeaders + " header lines");
+      if (++lineCount > maxHeaderLines) {
+        throw new SipParseException(400, "more than " + maxHeaderLines + " header lines");
       }
       int nextStart = nextLineStart(data, lineEnd, to);
       String line = decode(data, lineStart, lineEnd);
@@ -128,8 +133,8 @@
         int foldedEnd = findLineEnd(data, nextStart, to);
         line = line.stripTrailing() + " " + decode(data, nextStart, foldedEnd).strip();
         nextStart = nextLineStart(data, foldedEnd, to);
-        if (++lineCount > maxHeaders) {
-          throw new SipParseException(400, "more than " + maxHeaders + " header lines");
+        if (++lineCount > maxHeaderLines) {
+          throw new SipParseException(400, "more than " + maxHeaderLines + " header lines");
         }
       }
       parseHeader(message, line);
--- a/sip/src/main/java/coveladder/sip/StreamFramer.java
+++ b/sip/src/main/java/coveladder/sip/StreamFramer.java
@@ -45,6 +45,8 @@
    */
   public void feed(byte[] data, int from, int length, Consumer<byte[]> onMessage, Runnable onPing)
       throws SipParseException {
+    // Until the length of the message is known, at most 4096 octets are buffered at a time, so that
+    // the limit on the header also bounds the buffer.
     int at = from;
     int end = from + length;
     while (at < end) {
@@ -169,7 +171,7 @@
     System.arraycopy(buffer, count, buffer, 0, buffered - count);
     buffered -= count;
     scannedBytes = 0;
-    if (buffered == 0 && buffer.length > 65536) {
+    if (buffered == 0 && buffer.length > 65536) { // Frees the memory of a large message.
       buffer = new byte[2048];
     }
   }
--- a/sip/src/main/java/coveladder/sip/TransactionLayer.java
+++ b/sip/src/main/java/coveladder/sip/TransactionLayer.java
@@ -25,12 +25,22 @@
   private final Map<Hop, Set<ClientTransaction>> clientsByConnection = new HashMap<>();
   private final Map<String, ServerTransaction> serverTransactions = new HashMap<>();
   private final Map<Hop, Set<ServerTransaction>> serversByConnection = new HashMap<>();
-  private final Map<String, String> initialRequests = new HashMap<>();
-  private final Map<Long, Boolean> endedInvites;
+
+  /** Keys of server transactions by {@link #mergeKey}, to detect merged requests. */
+  private final Map<String, String> serverKeysByMergeKey = new HashMap<>();
+
+  /**
+   * Digests of the keys of terminated INVITE server transactions, whose retransmissions are
+   * dropped.
+   */
+  private final Map<Long, Boolean> terminatedInvites;
+
   private final long digestSalt;
   private long branchCount;
   private boolean overloadControlOffered;
   private Supplier<OverloadControl> localOverload = () -> null;
+
+  /** Arrival time of the message that is being processed, ms on the host's clock. */
   private double messageArrivalMillis;
 
   /**
@@ -45,7 +55,7 @@
     this.timing = timing;
     this.maxServerTransactions = maxServerTransactions;
     this.user = user;
-    this.endedInvites = new RecentKeys(maxServerTransactions);
+    this.terminatedInvites = new RecentKeys(maxServerTransactions);
     this.digestSalt = host.random().nextLong();
   }
 
@@ -148,7 +158,7 @@
         new InviteServerTransaction(this, invite, source, host.now());
     transaction.suppressTrying();
     register(serverKey(invite, "INVITE"), transaction);
-    initialRequests.put(mergeKey(invite), serverKey(invite, "INVITE"));
+    serverKeysByMergeKey.put(mergeKey(invite), serverKey(invite, "INVITE"));
     return transaction;
   }
 
@@ -268,12 +278,12 @@
     ServerTransaction known = serverTransactions.get(key);
     if (request.is("ACK")) {
       boolean absorbed = known instanceof InviteServerTransaction invite && invite.receiveAck();
-      if (!absorbed && !endedInvites.containsKey(digest(key))) {
+      if (!absorbed && !terminatedInvites.containsKey(digest(key))) {
         user.ack(request);
       }
     } else if (known != null) {
       known.requestRetransmitted();
-    } else if (!endedInvites.containsKey(digest(key))) {
+    } else if (!terminatedInvites.containsKey(digest(key))) {
       createServerTransaction(key, source, request);
     }
   }
@@ -298,7 +308,7 @@
     }
     String mergeKey = request.toTag() == null ? mergeKey(request) : null;
     boolean merged =
-        mergeKey != null && initialRequests.containsKey(mergeKey) && !request.is("CANCEL");
+        mergeKey != null && serverKeysByMergeKey.containsKey(mergeKey) && !request.is("CANCEL");
     ServerTransaction transaction =
         request.is("INVITE")
             ? new InviteServerTransaction(this, request, source, messageArrivalMillis)
@@ -310,7 +320,7 @@
       transaction.respond(request.response(482));
     } else {
       if (mergeKey != null) {
-        initialRequests.put(mergeKey, key);
+        serverKeysByMergeKey.put(mergeKey, key);
       }
       user.request(transaction, request);
     }
@@ -361,7 +371,10 @@
         + method;
   }
 
-  /** Digests a key to 64 bits, salted so that a peer cannot construct collisions. */
+  /**
+   * Digests a key to 64 bits, salted so that a peer cannot construct collisions. The multiplier is
+   * 2^64 divided by the golden ratio.
+   */
   private long digest(String key) {
     long digest = digestSalt;
     for (int i = 0; i < key.length(); i++) {
@@ -371,6 +384,9 @@
     return digest;
   }
 
+  /**
+   * Key that merged requests share: they differ only in their path, so in Via (section 8.2.2.2).
+   */
   private static String mergeKey(SipRequest request) {
     return request.callId() + ' ' + request.fromTag() + ' ' + request.cseq();
   }
@@ -381,10 +397,10 @@
     serverTransactions.remove(key, transaction);
     unlink(serversByConnection, transaction.source(), transaction);
     if (request.toTag() == null) {
-      initialRequests.remove(mergeKey(request), key);
+      serverKeysByMergeKey.remove(mergeKey(request), key);
     }
     if (request.is("INVITE")) {
-      endedInvites.put(digest(key), true);
+      terminatedInvites.put(digest(key), true);
     }
     transaction.notifyTerminated();
   }
--- a/sip/src/main/java/coveladder/sip/UserAgent.java
+++ b/sip/src/main/java/coveladder/sip/UserAgent.java
@@ -31,8 +31,8 @@
   private final Timing timing;
   private final TransactionLayer transactionLayer;
   private final Owner owner;
-  private final Map<String, CallLeg> legs = new HashMap<>();
-  private final Map<String, Runnable> deferredRestores = new HashMap<>();
+  private final Map<String, CallLeg> legsByDialogKey = new HashMap<>();
+  private final Map<String, Runnable> deferredRestoresByKey = new HashMap<>();
   private final Map<ServerTransaction, CallLeg> pendingLegs = new HashMap<>();
   private long tagCount;
 
@@ -136,12 +136,12 @@
    * @param key key of a dialog, or of the initial INVITE as it may be retransmitted
    */
   public void deferRestore(String key, Runnable restore) {
-    deferredRestores.put(key, restore);
+    deferredRestoresByKey.put(key, restore);
   }
 
   /** Removes the task registered for a key. */
   public void cancelDeferredRestore(String key) {
-    deferredRestores.remove(key);
+    deferredRestoresByKey.remove(key);
   }
 
   /** Key of an initial INVITE, the same for every retransmission regardless of its path. */
@@ -150,11 +150,11 @@
   }
 
   private CallLeg findLeg(String key) {
-    Runnable restore = deferredRestores.isEmpty() ? null : deferredRestores.get(key);
+    Runnable restore = deferredRestoresByKey.isEmpty() ? null : deferredRestoresByKey.get(key);
     if (restore != null) {
       restore.run();
     }
-    return legs.get(key);
+    return legsByDialogKey.get(key);
   }
 
   /** Resumes an established call as its caller, from the INVITE as sent and its 2xx. */
@@ -202,7 +202,10 @@
   }
 
   /**
-   * Cancels an INVITE, given as sent, that may have left; {@code onDone} runs when it has ended.
+   * Cancels an INVITE that may have been sent before the restart; {@code onDone} runs when it has
+   * ended.
+   *
+   * @param invite the INVITE as it was sent or prepared, with its Via
    */
   public void cancelAfterRestart(SipRequest invite, Hop hop, Runnable onDone) {
     transactionLayer.cancelAfterRestart(invite, hop, new CancelledInviteListener(invite, onDone));
@@ -263,11 +266,11 @@
   }
 
   void register(Dialog dialog, CallLeg leg) {
-    legs.put(dialog.key(), leg);
+    legsByDialogKey.put(dialog.key(), leg);
   }
 
   void unregister(Dialog dialog) {
-    legs.remove(dialog.key());
+    legsByDialogKey.remove(dialog.key());
   }
 
   void inviteAnswered(ServerTransaction invite) {
@@ -286,8 +289,8 @@
   }
 
   /**
-   * Handles the response to the BYE that releases a late 2xx; a remote side that wants the ACK
-   * first gets a second BYE.
+   * Handles the response to the BYE that releases a late 2xx. A remote side that wants the ACK
+   * first rejects the BYE, for example with 491 or 500, and gets a second BYE after the ACK.
    */
   private final class ReleaseByeListener implements ClientTransaction.Listener {
     private final Runnable sendAck;
@@ -375,9 +378,9 @@
   private void receiveInvite(ServerTransaction transaction) {
     SipRequest invite = transaction.request();
     Runnable restore =
-        deferredRestores.isEmpty()
+        deferredRestoresByKey.isEmpty()
             ? null
-            : deferredRestores.get(initialInviteKey(invite.callId(), invite.fromTag()));
+            : deferredRestoresByKey.get(initialInviteKey(invite.callId(), invite.fromTag()));
     if (restore != null) {
       // The call was established before the restart; a retransmitted INVITE is not a new call and
       // was already answered.
@@ -394,13 +397,16 @@
     }
   }
 
-  /** Forwards events to the listener that the owner returns after receiving the leg. */
+  /**
+   * Forwards a callee's events to the listener that the owner returns: the leg needs a listener
+   * before the owner has seen it.
+   */
   private static final class ListenerProxy implements CallListener {
     private CallListener listener;
 
     @Override
-    public void cancelRequested(CallLeg leg, Runnable answer) {
-      listener.cancelRequested(leg, answer);
+    public void cancelRequested(CallLeg leg, Runnable sendResponse) {
+      listener.cancelRequested(leg, sendResponse);
     }
 
     @Override
@@ -440,6 +446,12 @@
     }
   }
 
+  /**
+   * {@inheritDoc}
+   *
+   * <p>It is acknowledged if its call is established here, and released otherwise. The Request-URI
+   * of its INVITE is no longer known; requests in the dialog go to the Contact of the 2xx.
+   */
   @Override
   public void strayOk(SipResponse response) {
     SipRequest invite = new SipRequest("INVITE", "sip:unknown.invalid");
--- a/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
+++ b/sip/src/test/java/coveladder/sip/ParserFuzzTest.java
@@ -69,10 +69,10 @@
   @Property(tries = 2_000, seed = "43")
   void stackLeavesNoTransactionAfterAnyInput(@ForAll("messages") String text) {
     FakeNet net = new FakeNet(1);
-    FakeNet.Endpoint box = net.endpoint("b");
-    box.stack.receive(
+    FakeNet.Endpoint endpoint = net.endpoint("b");
+    endpoint.stack.receive(
         new Hop(Transport.UDP, "a", 5060), text.getBytes(StandardCharsets.ISO_8859_1));
     net.run(100_000);
-    assertEquals(0, box.stack.userAgent().transactionLayer().size());
+    assertEquals(0, endpoint.stack.userAgent().transactionLayer().size());
   }
 }
--- a/sip/src/test/java/coveladder/sip/ResumeTest.java
+++ b/sip/src/test/java/coveladder/sip/ResumeTest.java
@@ -146,13 +146,16 @@
             .stack
             .userAgent()
             .resumePending(
-                (SipRequest) parse(requestAsReceived("INVITE")), TO_A, "kept", restarted.listener);
+                (SipRequest) parse(requestAsReceived("INVITE")),
+                TO_A,
+                "stored",
+                restarted.listener);
     net.run(600);
     assertEquals(0, restarted.calls.size());
     leg.reject(leg.response(503));
     net.run(5_000);
     assertEquals(List.of("rejected 503"), a.events);
-    assertTrue(net.sentBy("b", "SIP/2.0 503").get(0).text().contains(";tag=kept"));
+    assertTrue(net.sentBy("b", "SIP/2.0 503").get(0).text().contains(";tag=stored"));
   }
 
   private int completions;
--- a/sip/src/test/java/coveladder/sip/TortureTest.java
+++ b/sip/src/test/java/coveladder/sip/TortureTest.java
@@ -14,22 +14,24 @@
  */
 class TortureTest {
   private final FakeNet net = new FakeNet(1);
-  private final FakeNet.Endpoint box = net.endpoint("b");
+  private final FakeNet.Endpoint endpoint = net.endpoint("b");
 
   /**
    * Returns the status of the response to a message, 0 if it was accepted, -1 if it was dropped.
    */
   private int outcome(String text) {
-    box.requests.clear();
+    endpoint.requests.clear();
     net.sent.clear();
-    long malformedBefore = box.stack.malformedMessages();
-    box.stack.receive(new Hop(Transport.UDP, "a", 5060), bytes(text));
+    long malformedBefore = endpoint.stack.malformedMessages();
+    endpoint.stack.receive(new Hop(Transport.UDP, "a", 5060), bytes(text));
     for (FakeNet.Sent sent : net.sent) {
       if (sent.text().startsWith("SIP/2.0 ")) {
         return Integer.parseInt(sent.text().substring(8, 11));
       }
     }
-    return box.requests.isEmpty() || box.stack.malformedMessages() > malformedBefore ? -1 : 0;
+    return endpoint.requests.isEmpty() || endpoint.stack.malformedMessages() > malformedBefore
+        ? -1
+        : 0;
   }
 
   private static byte[] bytes(String text) {
@@ -148,7 +150,7 @@
     // 3.1.2.18 and 3.1.2.19: the methods of start line and CSeq differ.
     assertEquals(400, outcome(message("OPTIONS sip:b@b SIP/2.0", "INVITE", "")));
     assertEquals(400, outcome(message("NEWMETHOD sip:b@b SIP/2.0", "INVITE", "")));
-    // 3.1.2.20: a status of more than three digits.
+    // 3.1.2.20: a status of more than three digits; responses are not answered.
     assertEquals(-1, outcome(message("SIP/2.0 4294967301 better not break", "INVITE", "")));
     // 3.3.1: without Call-ID, From and To no response can be built.
     assertEquals(
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -300,7 +300,7 @@
   /**
    * Sends the caller its one final answer. The callee's 2xx is acknowledged only now, when the call
    * is stored: after a crash, recovery cancels an attempt whose answer was not stored, and a callee
-   * that has received its ACK would not learn of that.
+   * that had already received its ACK would ignore the CANCEL and keep the call.
    */
   void answer(FinalAnswer finalAnswer) {
     SipResponse response = prepare(finalAnswer);
--- a/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
+++ b/sipfront/src/main/java/coveladder/sipfront/LegRecord.java
@@ -25,7 +25,7 @@
  * @param localTag local tag
  * @param remoteTag remote tag; empty before there is one
  * @param acknowledged whether the answer was acknowledged
- * @param progress state of the dialog; null before there is one
+ * @param dialogState the part of the dialog that changes; null before there is a dialog
  * @param sessionIntervalSeconds session interval (RFC 4028), s; 0: the session does not expire
  * @param invite the INVITE as sent or received
  * @param answer the final answer as sent or received; empty before there is one
@@ -36,11 +36,11 @@
     String localTag,
     String remoteTag,
     boolean acknowledged,
-    Dialog.State progress,
+    Dialog.State dialogState,
     long sessionIntervalSeconds,
     byte[] invite,
     byte[] answer) {
-  private static final int MAX_HEADERS = 1_000;
+  private static final int MAX_HEADER_LINES = 1_000;
   private static final byte[] EMPTY = {};
 
   /** Encodes the record. */
@@ -54,11 +54,11 @@
       data.writeUTF(localTag);
       data.writeUTF(remoteTag);
       data.writeBoolean(acknowledged);
-      data.writeBoolean(progress != null);
-      if (progress != null) {
-        data.writeLong(progress.localSequence());
-        data.writeLong(progress.remoteSequence());
-        data.writeUTF(progress.remoteTarget());
+      data.writeBoolean(dialogState != null);
+      if (dialogState != null) {
+        data.writeLong(dialogState.localSequence());
+        data.writeLong(dialogState.remoteSequence());
+        data.writeUTF(dialogState.remoteTarget());
       }
       data.writeLong(sessionIntervalSeconds);
       data.writeInt(invite.length);
@@ -88,7 +88,7 @@
       String localTag = data.readUTF();
       String remoteTag = data.readUTF();
       boolean acknowledged = data.readBoolean();
-      Dialog.State progress =
+      Dialog.State dialogState =
           data.readBoolean()
               ? new Dialog.State(data.readLong(), data.readLong(), data.readUTF())
               : null;
@@ -101,7 +101,7 @@
           localTag,
           remoteTag,
           acknowledged,
-          progress,
+          dialogState,
           sessionIntervalSeconds,
           invite,
           answer);
@@ -112,14 +112,14 @@
 
   /** A copy with the changed state of the dialog; the interval is in s. */
   LegRecord withDialogState(
-      boolean newAcknowledged, Dialog.State newProgress, long newIntervalSeconds) {
+      boolean newAcknowledged, Dialog.State newDialogState, long newIntervalSeconds) {
     return new LegRecord(
         hop,
         callId,
         localTag,
         remoteTag,
         newAcknowledged,
-        newProgress,
+        newDialogState,
         newIntervalSeconds,
         invite,
         answer);
@@ -140,7 +140,7 @@
 
   private static SipMessage parse(byte[] octets) {
     try {
-      return new SipParser(MAX_HEADERS).parse(octets);
+      return new SipParser(MAX_HEADER_LINES).parse(octets);
     } catch (SipParseException e) {
       throw new IllegalArgumentException("stored message is malformed: " + e.getMessage(), e);
     }
--- a/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
+++ b/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
@@ -48,15 +48,15 @@
   /**
    * Parses a body of {@code exchange-list}.
    *
-   * @param now the clock, ms, from which the start times of exchanges are computed
+   * @param nowMillis the clock, ms, from which the start times of exchanges are computed
    */
-  static ExchangeDirectory.Update parseDirectoryUpdate(String body, double now)
+  static ExchangeDirectory.Update parseDirectoryUpdate(String body, double nowMillis)
       throws MalformedBodyException {
     JsonNode root = parseObject(body);
     List<ExchangeDirectory.Entry> entries = new ArrayList<>();
     int index = 0;
     for (JsonNode node : requireArray(root, "exchanges")) {
-      entries.add(parseEntry(node, "exchanges[" + index + "].", now));
+      entries.add(parseEntry(node, "exchanges[" + index + "].", nowMillis));
       index++;
     }
     boolean full = requireField(root, "", "full").asBoolean();
@@ -65,8 +65,10 @@
         full, previousVersion, requireInteger(root, "", "version"), entries);
   }
 
-  private static ExchangeDirectory.Entry parseEntry(JsonNode node, String path, double now)
+  private static ExchangeDirectory.Entry parseEntry(JsonNode node, String path, double nowMillis)
       throws MalformedBodyException {
+    // Without an age, the exchange started long ago, which a start time of 0 stands for; the start
+    // time of any other exchange is therefore at least 1 ms.
     double ageMillis = node.path("age").isNumber() ? node.path("age").asDouble() : -1;
     return new ExchangeDirectory.Entry(
         requireField(node, path, "id").asText(),
@@ -74,7 +76,7 @@
         requireField(node, path, "domain").asText(),
         requireField(node, path, "address").asText(),
         parseState(requireField(node, path, "state").asText(), path),
-        ageMillis < 0 ? 0 : Math.max(1, now - ageMillis));
+        ageMillis < 0 ? 0 : Math.max(1, nowMillis - ageMillis));
   }
 
   private static ExchangeState parseState(String word, String path) throws MalformedBodyException {
--- a/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
+++ b/sipfront/src/main/java/coveladder/sipfront/OverloadReport.java
@@ -16,9 +16,9 @@
    * The load report of a response; null if it has none. Without {@code oc-validity} the report is
    * valid for 500 ms (RFC 7339).
    *
-   * @param now the clock, ms
+   * @param nowMillis the clock, ms
    */
-  static Report of(SipResponse response, double now) {
+  static Report of(SipResponse response, double nowMillis) {
     Via via = response.via();
     Params params = via.params();
     double limit = parseNumber(params.get("oc"));
@@ -27,15 +27,15 @@
       return null;
     }
     boolean rateBased = "rate".equals(unquoted(params.get("oc-algo")));
-    double validUntil = now + (Double.isNaN(validityMillis) ? 500 : validityMillis);
+    double validUntilMillis = nowMillis + (Double.isNaN(validityMillis) ? 500 : validityMillis);
     double sequence = parseNumber(params.get("oc-seq"));
     return new Report(
         rateBased ? Double.NaN : Math.min(100, limit) / 100,
         rateBased ? limit : Double.NaN,
         Double.NaN,
         Double.NaN,
-        Double.isNaN(sequence) ? now : sequence,
-        validUntil);
+        Double.isNaN(sequence) ? nowMillis : sequence,
+        validUntilMillis);
   }
 
   private static String unquoted(String text) {
--- a/sipfront/src/main/java/coveladder/sipfront/PersistingObserver.java
+++ b/sipfront/src/main/java/coveladder/sipfront/PersistingObserver.java
@@ -43,21 +43,21 @@
 
   @Override
   public void attemptEnded(
-      TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsed) {
-    delegate.attemptEnded(call, attempt, outcome, reason, elapsed);
+      TrackedCall call, int attempt, Outcome outcome, Reason reason, double elapsedMillis) {
+    delegate.attemptEnded(call, attempt, outcome, reason, elapsedMillis);
     if (reason == Reason.PROCESSOR_FULL) {
       recoveryRate.rejectedByProcessor(scheduler.now());
     }
   }
 
   @Override
-  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsed) {
-    delegate.finalAnswerGiven(call, answer, elapsed);
+  public void finalAnswerGiven(TrackedCall call, FinalAnswer answer, double elapsedMillis) {
+    delegate.finalAnswerGiven(call, answer, elapsedMillis);
   }
 
   @Override
-  public void callerAbandoned(TrackedCall call, double elapsed) {
-    delegate.callerAbandoned(call, elapsed);
+  public void callerAbandoned(TrackedCall call, double elapsedMillis) {
+    delegate.callerAbandoned(call, elapsedMillis);
   }
 
   @Override
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -187,9 +187,9 @@
                 callerRecord.hop(),
                 callerRecord.parseAnswer(),
                 !deferred.retransmitAnswer(),
-                (callerRecord.progress() == null
-                        ? initialProgress(callerRecord)
-                        : callerRecord.progress())
+                (callerRecord.dialogState() == null
+                        ? initialDialogState(callerRecord)
+                        : callerRecord.dialogState())
                     .forIncarnation(deferred.incarnation()),
                 bridge.callerListener());
     CallLeg attemptLeg =
@@ -199,14 +199,14 @@
                 attemptRecord.parseInvite(),
                 attemptRecord.hop(),
                 attemptRecord.parseAnswer(),
-                attemptRecord.progress().forIncarnation(deferred.incarnation()),
+                attemptRecord.dialogState().forIncarnation(deferred.incarnation()),
                 bridge.attemptListener(saved.attempt()));
     bridge.resume(callerLeg, attemptLeg, saved.attempt(), attemptRecord.sessionIntervalSeconds());
     return bridge;
   }
 
   /** The dialog state that an INVITE gives, for a leg stored before its answer was sent. */
-  private static Dialog.State initialProgress(LegRecord callerRecord) {
+  private static Dialog.State initialDialogState(LegRecord callerRecord) {
     NameAddr contact = callerRecord.parseInvite().addressHeader("Contact");
     String target = contact == null ? callerRecord.parseInvite().from().uri() : contact.uri();
     return new Dialog.State(0, callerRecord.parseInvite().cseq().number(), target);
@@ -323,6 +323,7 @@
 
   @Override
   public void resendFinalAnswer(SavedCall saved) {
+    // The stored octets are a whole response; the other fields of the record are not used.
     LegRecord answerRecord =
         new LegRecord(front.localSwitch(), "", "", "", false, null, 0, EMPTY, saved.answer());
     CallLeg leg = interruptedCallers.remove(saved.id());
--- a/standin/src/main/java/coveladder/standin/Processor.java
+++ b/standin/src/main/java/coveladder/standin/Processor.java
@@ -85,28 +85,28 @@
 
   /** Counts a received set-up. A cold processor that receives too many of them crashes. */
   public void recordSetup() {
-    double now = host.now();
-    if (now - startedAtMillis >= model.rampMillis()) {
+    double nowMillis = host.now();
+    if (nowMillis - startedAtMillis >= model.rampMillis()) {
       return;
     }
-    setupTimes.add(now);
-    while (setupTimes.peek() < now - model.coldWindowMillis()) {
+    setupTimes.add(nowMillis);
+    while (setupTimes.peek() < nowMillis - model.coldWindowMillis()) {
       setupTimes.poll();
     }
-    if (setupTimes.size() > maxSetupsPerWindow(now)) {
+    if (setupTimes.size() > maxSetupsPerWindow(nowMillis)) {
       crashed = true;
       stop();
     }
   }
 
   /** Maximum number of set-ups per window that a cold processor withstands at the given time. */
-  public double maxSetupsPerWindow(double now) {
+  public double maxSetupsPerWindow(double nowMillis) {
     double warmSetups = model.coldWindowMillis() / model.setupMillis();
-    return model.coldMultiple() * capacityShare(now) * warmSetups;
+    return model.coldMultiple() * capacityShare(nowMillis) * warmSetups;
   }
 
-  private double capacityShare(double now) {
-    double warmUpProgress = Math.min(1, (now - startedAtMillis) / model.rampMillis());
+  private double capacityShare(double nowMillis) {
+    double warmUpProgress = Math.min(1, (nowMillis - startedAtMillis) / model.rampMillis());
     return model.coldShare() + (1 - model.coldShare()) * warmUpProgress;
   }
 
@@ -116,9 +116,9 @@
     if (!busy) {
       return;
     }
-    double now = host.now();
-    double stallMillis = Math.max(0, stalledUntilMillis - now);
-    double durationMillis = job.workMillis() * slowdown / capacityShare(now);
+    double nowMillis = host.now();
+    double stallMillis = Math.max(0, stalledUntilMillis - nowMillis);
+    double durationMillis = job.workMillis() * slowdown / capacityShare(nowMillis);
     long jobIncarnation = incarnation;
     host.schedule(stallMillis + durationMillis, () -> finish(job, durationMillis, jobIncarnation));
   }
@@ -144,12 +144,12 @@
 
   /** Smoothed share of time that the processor is busy, updated at most every 100 ms. */
   public double utilization() {
-    double now = host.now();
-    if (now - sampledAtMillis >= 100) {
-      double sample = Math.min(1, workSinceSampleMillis / (now - sampledAtMillis));
+    double nowMillis = host.now();
+    if (nowMillis - sampledAtMillis >= 100) {
+      double sample = Math.min(1, workSinceSampleMillis / (nowMillis - sampledAtMillis));
       utilization = 0.5 * utilization + 0.5 * sample;
       workSinceSampleMillis = 0;
-      sampledAtMillis = now;
+      sampledAtMillis = nowMillis;
     }
     return utilization;
   }
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -36,7 +36,7 @@
  */
 public final class StandinSwitch implements SipNode, UserAgent.Owner {
   private static final double NOTIFY_INTERVAL_MILLIS = 20;
-  private static final double LOAD_REFRESH_MILLIS = 250;
+  private static final double LOAD_REFRESH_INTERVAL_MILLIS = 250;
   private static final double TARGET_UTILIZATION = 0.85;
 
   private final SipHost machineHost;
@@ -45,14 +45,20 @@
   private final Processor processor;
   private final Set<SwitchCall> calls = new LinkedHashSet<>();
   private final Map<String, Integer> busyLinesByNumber = new HashMap<>();
-  private final Set<Integer> changedGroups = new TreeSet<>();
+
+  /** Numbers of the exchanges whose circuit group has changed since the last NOTIFY. */
+  private final Set<Integer> changedNeighbours = new TreeSet<>();
+
   private IncarnationHost host;
   private SipStack stack;
   private Notifier notifier;
   private String epoch = "";
   private long version;
   private boolean notifyScheduled;
+
+  /** Whether the message being processed is a set-up that found the processor's queue too long. */
   private boolean rejectingSetup;
+
   // The call that incoming() accepted last, for the callAccepted() that follows at once. The next
   // hop is null if the call ends at this switch.
   private SwitchCall acceptedCall;
@@ -346,9 +352,12 @@
 
   // ---- Overload control and circuit reports -------------------------------------------------
 
-  /** The requested load reduction, refreshed only periodically, as in a real switch. */
+  /**
+   * The requested load reduction, refreshed only periodically, as in a real switch. It grows from 0
+   * at the target utilization to half of the set-ups at full utilization.
+   */
   private OverloadControl overloadControl() {
-    if (host.now() - loadUpdatedAtMillis >= LOAD_REFRESH_MILLIS) {
+    if (host.now() - loadUpdatedAtMillis >= LOAD_REFRESH_INTERVAL_MILLIS) {
       loadUpdatedAtMillis = host.now();
       double utilization = processor.utilization();
       requestedReduction =
@@ -357,11 +366,14 @@
               : Math.min(1, (utilization - TARGET_UTILIZATION) / (1 - TARGET_UTILIZATION) / 2);
     }
     return new OverloadControl(
-        false, 100 * requestedReduction, 2 * LOAD_REFRESH_MILLIS, loadUpdatedAtMillis / 1000);
+        false,
+        100 * requestedReduction,
+        2 * LOAD_REFRESH_INTERVAL_MILLIS,
+        loadUpdatedAtMillis / 1000);
   }
 
-  private void groupChanged(int exchange) {
-    changedGroups.add(exchange);
+  private void groupChanged(int neighbour) {
+    changedNeighbours.add(neighbour);
     if (!notifyScheduled) {
       notifyScheduled = true;
       host.schedule(NOTIFY_INTERVAL_MILLIS, this::notifyGroupChanges);
@@ -371,19 +383,19 @@
   private void notifyGroupChanges() {
     notifyScheduled = false;
     if (processor.isUp()) {
-      String body = circuitsBody(new ArrayList<>(changedGroups));
+      String body = circuitsBody(new ArrayList<>(changedNeighbours));
       notifier.active().forEach(subscription -> subscription.notify("application/json", body));
     }
-    changedGroups.clear();
+    changedNeighbours.clear();
   }
 
-  private String circuitsBody(List<Integer> exchanges) {
+  private String circuitsBody(List<Integer> neighbours) {
     version++;
     StringBuilder json = new StringBuilder("{\"epoch\":\"").append(epoch);
     json.append("\",\"version\":").append(version).append(",\"groups\":[");
-    for (int i = 0; i < exchanges.size(); i++) {
-      CircuitGroup group = trunks.groupBetween(config.exchange(), exchanges.get(i));
-      json.append(i > 0 ? "," : "").append("{\"toward\":").append(exchanges.get(i));
+    for (int i = 0; i < neighbours.size(); i++) {
+      CircuitGroup group = trunks.groupBetween(config.exchange(), neighbours.get(i));
+      json.append(i > 0 ? "," : "").append("{\"toward\":").append(neighbours.get(i));
       json.append(",\"free\":").append(group.free());
       json.append(",\"size\":").append(group.size()).append('}');
     }
--- a/standin/src/main/java/coveladder/standin/SwitchCall.java
+++ b/standin/src/main/java/coveladder/standin/SwitchCall.java
@@ -16,7 +16,10 @@
   private final int nextExchange;
   private final int width;
   private CallLeg outgoingLeg;
+
+  /** Whether the ACK on the outgoing leg waits for the caller's SDP answer to the 2xx's offer. */
   private boolean ackPending;
+
   private boolean released;
   private String calledNumber;
 
@@ -76,7 +79,7 @@
         owner.answerInDialogRequest(leg, transaction, request);
       } else {
         RequestRelay.forward(
-            leg, outgoingLeg, transaction, request, request.header("RAck"), agreed -> {});
+            leg, outgoingLeg, transaction, request, request.header("RAck"), response -> {});
       }
     }
 
@@ -134,7 +137,7 @@
 
     @Override
     public void request(CallLeg leg, ServerTransaction transaction, SipRequest request) {
-      RequestRelay.forward(leg, incomingLeg, transaction, request, null, agreed -> {});
+      RequestRelay.forward(leg, incomingLeg, transaction, request, null, response -> {});
     }
 
     @Override
