--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -15,6 +15,7 @@
  * controllers and the limits of the rules, and shares no code with the controllers.
  */
 public final class Checker {
+  /** Tolerance for rounding of clock times. */
   private static final double ROUNDING_MILLIS = 1;
 
   private final Limits limits;
--- a/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
@@ -19,6 +19,7 @@
   private final Map<String, Double> closedAt = new HashMap<>();
   private long version = -1;
 
+  /** Applies the body of a NOTIFY; one of another event package is ignored. */
   void update(String body, double now) {
     if (!body.contains("\"exchanges\"")) {
       return;
@@ -66,7 +67,7 @@
     return closedSince(domains, domain);
   }
 
-  /** The same for the processors whose switch has an address. */
+  /** The same for the processors behind the switch with an address. */
   double addressClosedSince(String address) {
     return closedSince(addresses, address);
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -118,7 +118,10 @@
     return node(name, null).localHop(Transport.UDP);
   }
 
-  /** The node with a name. If its thread is not known yet, each controller gets its own. */
+  /**
+   * Returns the node with a name, created if it does not exist. If no thread is requested, a
+   * controller gets a thread of its own, and other nodes share the thread of the stand-ins.
+   */
   private Node node(String name, String requestedThread) {
     Node node = nodes.get(name);
     if (node == null) {
--- a/rehearsal/src/test/java/coveladder/rehearsal/ScenarioTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ScenarioTest.java
@@ -7,6 +7,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
+/** Whole scenarios in virtual time, and that a seed determines a run completely. */
 class ScenarioTest {
 
   @Test
