--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -99,6 +99,8 @@
                       new NestedThresholdPolicy(policySettings(), /* seed= */ 1, actions),
                       policyStopwatch),
               store == null ? null : persistence());
+      // Not measured: the calls of the ramp, as many as in 3 s at full rate, and of the next
+      // second.
       caller =
           new OpenLoopCaller(
               callerNode,
@@ -165,7 +167,7 @@
               /* worth= */ 1,
               /* lateWorth= */ 0.2,
               /* aim= */ 5_000,
-              /* giveUp= */ 30_000,
+              /* callerTimeout= */ 30_000,
               /* width= */ 1,
               /* hold= */ 60_000,
               /* pools= */ List.of());
--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -22,9 +22,14 @@
   private final Set<String> controllers;
   private final Map<String, ObservedController> observedControllers = new HashMap<>();
   private final Map<String, ColdProcessor> coldProcessors = new HashMap<>();
+
+  /** Start and end of each freeze, clock time in ms, by node name. */
   private final Map<String, List<double[]>> freezes = new HashMap<>();
+
+  /** Start and end of each downtime, clock time in ms, by node name; infinite end: still down. */
   private final Map<String, List<double[]>> downtimes = new HashMap<>();
-  private final Set<String> unpersisted = new HashSet<>();
+
+  private final Set<String> controllersWithFailedDisk = new HashSet<>();
   private final RuleReport report = new RuleReport();
 
   /**
@@ -95,7 +100,7 @@
       List<double[]> intervals = downtimes.get(entry.node());
       intervals.get(intervals.size() - 1)[1] = entry.time();
     } else if (entry.note().equals("disk fails")) {
-      unpersisted.add(entry.node());
+      controllersWithFailedDisk.add(entry.node());
     }
   }
 
@@ -135,11 +140,11 @@
     }
     double restartedAt = lastDowntime[1];
     boolean inviteRepeated = call.lastReceivedAt > restartedAt;
-    boolean attemptKnown = !call.attempts.isEmpty() && call.overUdp;
+    boolean reachableAfterAttempt = !call.attempts.isEmpty() && call.overUdp;
     boolean answerDue =
-        (inviteRepeated || attemptKnown)
+        (inviteRepeated || reachableAfterAttempt)
             && restartedAt + limits.recoveryMillis() < call.patienceEnd;
-    return !answerDue || unpersisted.contains(controller);
+    return !answerDue || controllersWithFailedDisk.contains(controller);
   }
 
   /**
@@ -293,7 +298,7 @@
      */
     private void onRepeatedInvite(
         ReceivedCall call, MessageRecorder.Entry entry, WireMessage message) {
-      boolean nothingStored = call.attempts.isEmpty() || unpersisted.contains(name);
+      boolean nothingStored = call.attempts.isEmpty() || controllersWithFailedDisk.contains(name);
       boolean forgotten = nothingStored && call.finalAnswer.isEmpty();
       if (forgotten && restartedBetween(name, call.lastReceivedAt, entry.time())) {
         call.receivedAt = entry.time();
@@ -302,6 +307,10 @@
       call.lastReceivedAt = entry.time();
     }
 
+    /**
+     * Clock time at which the caller's patience ends, ms. The Expires header gives the patience in
+     * seconds; without it the patience has no end.
+     */
     private double patienceEnd(MessageRecorder.Entry entry, WireMessage message) {
       double patience = 1000 * Double.parseDouble("0" + message.header("expires"));
       return patience == 0 ? Double.MAX_VALUE : entry.arrivedAt() + patience;
@@ -390,6 +399,10 @@
       }
     }
 
+    /**
+     * Checks that the exchange of an attempt is not draining. The second Route names its switch;
+     * without one, the request URI names its domain.
+     */
     private void checkDrain(MessageRecorder.Entry entry, WireMessage message, String context) {
       report.countCheck(Rule.DRAINS_KEPT);
       String[] routes = message.header("route").split(",");
@@ -412,20 +425,20 @@
       if (!initial) {
         return;
       }
-      String given = message.status() + " " + message.toTag();
-      if (!call.finalAnswer.isEmpty() && !call.finalAnswer.equals(given)) {
+      String answer = message.status() + " " + message.toTag();
+      if (!call.finalAnswer.isEmpty() && !call.finalAnswer.equals(answer)) {
         report.addBreach(
             Rule.ONE_OUTCOME,
             name
                 + " call "
                 + call.sessionId
                 + ": answered "
-                + given
+                + answer
                 + " after "
                 + call.finalAnswer);
       }
       if (call.finalAnswer.isEmpty()) {
-        call.finalAnswer = given;
+        call.finalAnswer = answer;
         call.answeredAt = entry.time();
       }
     }
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerTrafficView.java
@@ -68,7 +68,10 @@
     return controllersByConnection.get(entry.peer());
   }
 
-  /** Assigns a connection by the Via of a request: its port does not identify the controller. */
+  /**
+   * Assigns a connection to the controller that the Via of a request names. A controller opens its
+   * connections from any port, so that their ports do not identify it.
+   */
   private void learnConnection(MessageRecorder.Entry entry) {
     WireMessage message = WireMessage.parse(entry.message());
     if (message != null && message.status() == 0) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -141,7 +141,9 @@
       exchangesByDomain.put(domain(i), i);
       String switchUri = "sip:" + switchAddress.host() + ':' + switchAddress.port();
       directoryEntries.put(
-          i, new StandinDirectory.Entry("x" + i + "-0", i, domain(i), switchUri, "in-service", -1));
+          i,
+          new StandinDirectory.Entry(
+              "x" + i + "-0", i, domain(i), switchUri, "in-service", /* startedAtMillis= */ -1));
     }
     directory.addEntries(List.copyOf(directoryEntries.values()));
     for (int i = 0; i < config.exchangeCount(); i++) {
@@ -153,7 +155,11 @@
               STANDIN_THREAD,
               host -> new StandinSwitch(host, switchConfig, trunks)));
     }
-    StandinCallers.Behaviour behaviour = new StandinCallers.Behaviour(600, 0.5, 400);
+    StandinCallers.Behaviour behaviour =
+        new StandinCallers.Behaviour(
+            /* minRedialDelayMillis= */ 600,
+            /* retryAfterCompliance= */ 0.5,
+            /* minReconnectDelayMillis= */ 400);
     callers =
         network.addNode(
             "callers",
@@ -176,7 +182,7 @@
         switchesByDomain,
         exchangesByDomain,
         widthsByPriority,
-        Map.of("5550000", 3),
+        /* linesByNumber= */ Map.of("5550000", 3),
         config.answerDelayMillis(),
         config.processorModel(),
         config.timing());
@@ -231,11 +237,11 @@
         domain(exchange),
         network.reserveAddress(switchName(exchange)).withTransport(switchTransport),
         network.reserveAddress("list").withTransport(Transport.TCP),
-        new ClassTable(names, priorities, List.of(), 0),
-        3000,
+        new ClassTable(names, priorities, /* prefixes= */ List.of(), /* defaultClass= */ 0),
+        /* patienceMillis= */ 3000,
         FleetConfig.ANSWER_MARGIN_MILLIS,
-        100_000,
-        1,
+        /* maxCalls= */ 100_000,
+        /* retryAfterSeconds= */ 1,
         config.timing(),
         SipStack.Limits.DEFAULT);
   }
@@ -307,6 +313,7 @@
             "in-service",
             network.now());
     directoryEntries.put(exchange, restarted);
+    // The checker reads the parameters of the cold start from this note, in this order.
     Processor.Model model = config.processorModel();
     network
         .recorder()
--- a/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/FleetConfig.java
@@ -65,7 +65,7 @@
       int width,
       double holdMillis) {}
 
-  /** The call classes of all rehearsals. */
+  /** The call classes of all rehearsals; the values are in the order of the record's components. */
   public static final List<CallClassConfig> CALL_CLASSES =
       List.of(
           new CallClassConfig("score-check", "cove.0", 0.82, 1, 0.2, 1200, 3000, 9000, 1, 8000),
@@ -75,13 +75,23 @@
   /** A fleet of eight exchanges, small enough for a laptop. */
   public static FleetConfig eightExchanges() {
     return new FleetConfig(
-        8,
-        26,
-        7,
+        /* exchangeCount= */ 8,
+        /* circuitsPerGroup= */ 26,
+        /* callsPerSecond= */ 7,
         CALL_CLASSES,
-        new Processor.Model(12, 4, 4, 1, 3, 1500, 0.3, 12000, 3, 3000),
-        900,
-        40,
+        new Processor.Model(
+            /* setupMillis= */ 12,
+            /* answerMillis= */ 4,
+            /* releaseMillis= */ 4,
+            /* otherMillis= */ 1,
+            /* rejectionMillis= */ 3,
+            /* maxWaitMillis= */ 1500,
+            /* coldShare= */ 0.3,
+            /* rampMillis= */ 12000,
+            /* coldMultiple= */ 3,
+            /* coldWindowMillis= */ 3000),
+        /* directoryDelayMillis= */ 900,
+        /* answerDelayMillis= */ 40,
         Timing.STANDARD);
   }
 
@@ -122,13 +132,13 @@
         localExchange,
         exchangeCount,
         policyClasses(),
-        5,
-        6,
-        true,
-        false,
-        false,
-        2000,
-        false,
+        /* clockResolution= */ 5,
+        /* maxAttempts= */ 6,
+        /* mayCancel= */ true,
+        /* mayProbe= */ false,
+        /* mayBroadcast= */ false,
+        /* maxRetryAfter= */ 2000,
+        /* directoryOnRequest= */ false,
         GUARD_TIME_MILLIS,
         timing.t1(),
         processorModel.coldShare(),
--- a/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
@@ -62,7 +62,10 @@
     return entry.replaceAll(".*\"" + name + "\":\"([^\"]*)\".*", "$1");
   }
 
-  /** Clock since which no processor of a domain accepts new calls, ms; infinite while one does. */
+  /**
+   * Clock time since which no processor of a domain accepts new calls, ms; infinite while one does
+   * or if none is known.
+   */
   double domainClosedSince(String domain) {
     return closedSince(domains, domain);
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/LoadGenerator.java
@@ -52,7 +52,7 @@
     return this;
   }
 
-  /** Generates the calls from the start to a clock time, ordered by time. */
+  /** Generates the calls from 500 ms after the start to a clock time, ordered by time. */
   public List<PlannedCall> generateUntil(double endMillis) {
     List<PlannedCall> calls = new ArrayList<>();
     double maxMultiple = surges.stream().mapToDouble(Surge::rateMultiple).max().orElse(1);
@@ -104,10 +104,13 @@
         random.nextBoolean() ? Transport.UDP : Transport.TCP,
         callClass.patienceMillis(),
         drawHold(callClass),
-        2);
+        /* maxRedials= */ 2);
   }
 
-  /** Exponential holding time, ms; bounded above so that every scenario ends. */
+  /**
+   * Exponential holding time, at least 50 ms; at most 2.5 times its mean, so that every scenario
+   * ends.
+   */
   private double drawHold(FleetConfig.CallClassConfig callClass) {
     double drawn = -Math.log(1 - random.nextDouble()) * callClass.holdMillis();
     return Math.max(50, Math.min(drawn, 2.5 * callClass.holdMillis()));
--- a/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Rehearsal.java
@@ -8,7 +8,7 @@
 
 /** Plays a scenario on a network and checks the rules. */
 public final class Rehearsal {
-  /** Maximum time for the calls to end after the last one was made. */
+  /** Maximum time for the calls to end after the period in which they are made. */
   private static final double MAX_SETTLE_MILLIS = 45_000;
 
   /** Tolerated delay of a final answer after the end of the caller's patience. */
@@ -43,7 +43,10 @@
       FleetConfig fleetConfig,
       ControllerRestarts restarts) {
 
-    /** Whether all rules hold and every call ended; after kills, also whether circuits are free. */
+    /**
+     * Whether all rules hold and every call ended. With kills, all circuits must be free as well,
+     * unless a disk failed.
+     */
     public boolean isClean() {
       boolean settled = restarts == null || restarts.diskFailed() || busyCircuits == 0;
       return ruleReport.breachCount() == 0 && callResults.size() == plannedCallCount && settled;
@@ -57,13 +60,13 @@
 
   /** Checks the rules against the recorded messages of a fleet. */
   public static RuleReport checkRules(List<MessageRecorder.Entry> entries, FleetConfig config) {
-    double attemptTimeout = config.timing().transactionTimeout();
+    double attemptTimeoutMillis = config.timing().transactionTimeout();
     Checker.Limits limits =
         new Checker.Limits(
             FleetConfig.GUARD_TIME_MILLIS,
             FleetConfig.DRAIN_GRACE_MILLIS,
             ANSWER_SLACK_MILLIS,
-            attemptTimeout,
+            attemptTimeoutMillis,
             RECOVERY_MILLIS);
     Set<String> controllers = new TreeSet<>();
     for (int i = 0; i < config.exchangeCount(); i++) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Scenarios.java
@@ -43,9 +43,13 @@
         45_000,
         seed ->
             new LoadGenerator(config, seed)
-                .addSurge(new Surge(6_000, 11_000, 1.6, -1, null))
-                .addSurge(new Surge(30_000, 36_000, 1.5, 2, null))
-                .addSurge(new Surge(36_000, 41_000, 1.3, -1, "5550000")),
+                .addSurge(
+                    new Surge(
+                        6_000, 11_000, 1.6, /* originExchange= */ -1, /* congestedNumber= */ null))
+                .addSurge(
+                    new Surge(
+                        30_000, 36_000, 1.5, /* originExchange= */ 2, /* congestedNumber= */ null))
+                .addSurge(new Surge(36_000, 41_000, 1.3, /* originExchange= */ -1, "5550000")),
         Scenarios::scheduleBadDay);
   }
 
@@ -75,18 +79,18 @@
     network.schedule(14_700, DIRECTORY_NODE, () -> network.resetConnections("switch-2"));
     network.schedule(18_000, DIRECTORY_NODE, () -> network.resetConnections("switch-6"));
     network.schedule(28_000, DIRECTORY_NODE, () -> network.resetConnections("controller-0"));
-    network.schedule(31_500, DIRECTORY_NODE, () -> disconnectAll(fleet, 0.3));
+    network.schedule(31_500, DIRECTORY_NODE, () -> disconnectShareOfCalls(fleet, 0.3));
     network.schedule(34_000, DIRECTORY_NODE, () -> fleet.stop(7));
     network.schedule(35_000, DIRECTORY_NODE, () -> fleet.startCold(7));
   }
 
-  private static void disconnectAll(Fleet fleet, double share) {
+  private static void disconnectShareOfCalls(Fleet fleet, double share) {
     for (int i = 0; i < fleet.config().exchangeCount(); i++) {
       fleet.switchOf(i).disconnect(share);
     }
   }
 
-  /** More than ten thousand calls, with random faults throughout. */
+  /** More than ten thousand calls, with random faults throughout, the same for every seed. */
   public static Scenario tenThousand() {
     FleetConfig config = FleetConfig.eightExchanges();
     return new Scenario(
@@ -94,8 +98,16 @@
         "eight exchanges, 190 s, over 10,000 calls, troubles drawn from the seed",
         config,
         190_000,
-        seed -> new LoadGenerator(config, seed).addSurge(new Surge(40_000, 48_000, 1.5, -1, null)),
-        (network, fleet) -> scheduleRandomFaults(network, fleet, 5, 180_000));
+        seed ->
+            new LoadGenerator(config, seed)
+                .addSurge(
+                    new Surge(
+                        40_000,
+                        48_000,
+                        1.5,
+                        /* originExchange= */ -1,
+                        /* congestedNumber= */ null)),
+        (network, fleet) -> scheduleRandomFaults(network, fleet, /* seed= */ 5, 180_000));
   }
 
   /** A short scenario for sweeps over thousands of seeds, which determine its faults. */
@@ -107,7 +119,10 @@
         config,
         12_000,
         loadSeed ->
-            new LoadGenerator(config, loadSeed).addSurge(new Surge(4_000, 7_000, 2, -1, null)),
+            new LoadGenerator(config, loadSeed)
+                .addSurge(
+                    new Surge(
+                        4_000, 7_000, 2, /* originExchange= */ -1, /* congestedNumber= */ null)),
         (network, fleet) -> scheduleRandomFaults(network, fleet, seed, 11_000));
   }
 
@@ -138,6 +153,7 @@
         (network, fleet) -> {});
   }
 
+  /** Schedules a random kill or disk failure every 0.2 to 1.7 seconds. */
   private static void scheduleRandomKills(
       Network network, Fleet fleet, long seed, double untilMillis) {
     SplittableRandom random = new SplittableRandom(seed ^ 0xdead);
@@ -220,7 +236,7 @@
         network.schedule(
             time + durationMillis + 600, DIRECTORY_NODE, () -> fleet.startCold(exchange));
       }
-      case 6 -> network.schedule(time, DIRECTORY_NODE, () -> disconnectAll(fleet, 0.4));
+      case 6 -> network.schedule(time, DIRECTORY_NODE, () -> disconnectShareOfCalls(fleet, 0.4));
       case 7 -> {
         network.schedule(
             time, DIRECTORY_NODE, () -> fleet.switchOf(exchange).processor().setSlowdown(4));
--- a/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SeedSweep.java
@@ -16,7 +16,8 @@
  * with a kill at each boundary.
  */
 public final class SeedSweep {
-  private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
+  private static final RecoveryRate.Budget RECOVERY_BUDGET =
+      new RecoveryRate.Budget(/* callsPerSecond= */ 200, /* verifyDelayMillis= */ 300);
 
   private final LongFunction<Rehearsal.Result> scenarioRunner;
   private final List<FailedRun> failedRuns = Collections.synchronizedList(new ArrayList<>());
@@ -69,7 +70,10 @@
     }
   }
 
-  /** Plays {@code count} seeds from the first on; returns the failed runs ordered by seed. */
+  /**
+   * Plays {@code count} seeds from the first on; returns the failed runs ordered by seed. It waits
+   * at most two hours; runs that have not completed by then are missing from the result.
+   */
   public List<FailedRun> run(long firstSeed, int count, int threads) throws InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     for (long seed = firstSeed; seed < firstSeed + count; seed++) {
@@ -101,12 +105,12 @@
     runCount.incrementAndGet();
   }
 
-  /** Number of calls planned in the completed runs so far. */
+  /** Number of calls planned in the runs so far; runs that threw an exception do not count. */
   public long callCount() {
     return callCount.get();
   }
 
-  /** Number of runs so far. */
+  /** Number of completed runs so far. */
   public int runCount() {
     return runCount.get();
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedDisk.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedDisk.java
@@ -54,7 +54,10 @@
     this.boundary = boundary;
   }
 
-  /** Attaches the disk to the host whose timers it uses from now on. */
+  /**
+   * Attaches the disk to the host whose timers it uses from now on; when the host is killed, these
+   * timers are lost.
+   */
   public void attachTo(SipHost newHost) {
     host = newHost;
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SimulatedNetwork.java
@@ -117,7 +117,7 @@
       }
     }
 
-    /** Runs a task now or, if the node is frozen, at the end of that. */
+    /** Runs a task now or, if the node is frozen, when the freeze ends. */
     void whenThawed(Runnable task) {
       if (virtualTime.now() < frozenUntil) {
         virtualTime.schedule(frozenUntil, () -> whenThawed(task));
@@ -128,7 +128,8 @@
   }
 
   /**
-   * A timer of a node; it is delayed while the node is frozen and void after the node's restart.
+   * A timer of a node; it is delayed while the node is frozen and does nothing once the node was
+   * killed.
    */
   private static final class FreezableTimer implements Runnable, SipHost.Timer {
     private final Node node;
@@ -207,14 +208,17 @@
     onCrash = crashListener;
   }
 
-  /** Kills a node: it loses its timers and connections and receives nothing. */
+  /** Kills a node: it loses its memory, timers and connections and receives nothing. */
   public void kill(String name) {
     recorder.recordNote(virtualTime.now(), name, "killed");
     setReachable(name, false);
     nodesByName.get(name).incarnation++;
   }
 
-  /** Restarts a node that was killed as a new element that the factory creates. */
+  /**
+   * Restarts a node that was killed as a new element that the factory creates. It has no state but
+   * what the factory gives it.
+   */
   public <N extends SipNode> N restartNode(String name, Function<SipHost, N> factory) {
     recorder.recordNote(virtualTime.now(), name, "started");
     Node node = nodesByName.get(name);
@@ -281,6 +285,7 @@
     Connection connection = new Connection(from, target, to, returnAddress);
     from.connections.put(to, connection);
     target.connections.put(returnAddress, connection);
+    // The first message arrives after the handshake at the earliest.
     connection.lastArrival[0] = virtualTime.now() + 2 * randomDelay();
     return connection;
   }
--- a/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/SocketNetwork.java
@@ -119,8 +119,10 @@
   }
 
   /**
-   * Returns the node with a name, created if it does not exist. If no thread is requested, a
-   * controller gets a thread of its own, and other nodes share the thread of the stand-ins.
+   * Returns the node with a name and creates it if needed. An address may be reserved before the
+   * thread is known: then a controller gets a thread of its own, any other node the stand-ins'.
+   *
+   * @param requestedThread name of the thread of a new node; null if it is not known yet
    */
   private Node node(String name, String requestedThread) {
     Node node = nodes.get(name);
--- a/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/VirtualTime.java
@@ -43,7 +43,11 @@
     return task;
   }
 
-  /** Runs the next task if it is due by the given time; returns whether there was one. */
+  /**
+   * Runs the next task if it is due by the given time; otherwise advances the clock to that time.
+   *
+   * @return whether a task was due
+   */
   boolean runNext(double untilMillis) {
     Task task = queue.peek();
     if (task == null || task.time > untilMillis) {
--- a/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/WireMessage.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * A SIP message as the checker parses it. The checker has a parser of its own so that a fault in
- * the controllers' parser cannot hide itself.
+ * A SIP message as the checker parses it. The checker has a parser of its own: with the
+ * controllers' parser it would not notice that parser's faults.
  */
 final class WireMessage {
-  private static final Map<String, String> COMPACT =
+  private static final Map<String, String> NAMES_BY_COMPACT_FORM =
       Map.of("v", "via", "i", "call-id", "f", "from", "t", "to", "m", "contact");
 
   private final String method;
@@ -47,7 +47,8 @@
       if (colon > 0) {
         String name = lines[i].substring(0, colon).trim().toLowerCase(Locale.ROOT);
         String value = lines[i].substring(colon + 1).trim();
-        message.headers.merge(COMPACT.getOrDefault(name, name), value, (a, b) -> a + "," + b);
+        message.headers.merge(
+            NAMES_BY_COMPACT_FORM.getOrDefault(name, name), value, (a, b) -> a + "," + b);
       }
     }
     return message;
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -23,12 +23,15 @@
   final SimulatedNetwork network = new SimulatedNetwork(5);
   final RawNode caller = network.addNode("caller", "x", RawNode::new);
   final RawNode localSwitch = network.addNode("switch", "x", RawNode::new);
-  final RawNode listServer = network.addNode("list", "x", RawNode::new);
+  final RawNode directoryServer = network.addNode("list", "x", RawNode::new);
   final Hop controllerAddress;
   final SimulatedDisk disk =
       new SimulatedDisk(new SplittableRandom(3), SYNC_MILLIS, SYNC_MILLIS, () -> {});
   SipFront frontEnd;
+
+  /** Difference of the controller's wall clock from the time of the network, ms. */
   double clockStepMillis;
+
   private FrontSettings settings;
   private final FleetConfig config = FleetConfig.eightExchanges().withSize(4, 1);
   private final boolean persistent;
@@ -41,18 +44,26 @@
   ControllerHarness(Transport switchTransport, boolean persistent) {
     this.persistent = persistent;
     controllerAddress = network.reserveAddress("controller");
-    network.setConditions(new Network.Conditions(1, 1, 0, 0));
+    network.setConditions(
+        new Network.Conditions(
+            /* minDelayMillis= */ 1,
+            /* maxDelayMillis= */ 1,
+            /* lossRate= */ 0,
+            /* duplicationRate= */ 0));
     settings =
         new FrontSettings(
             "x0.example",
             network.reserveAddress("switch").withTransport(switchTransport),
             network.reserveAddress("list"),
             new ClassTable(
-                List.of("a", "b", "c"), List.of("cove.0", "cove.1", "cove.2"), List.of(), 0),
-            5_000,
-            20,
-            50,
-            1,
+                List.of("a", "b", "c"),
+                List.of("cove.0", "cove.1", "cove.2"),
+                /* prefixes= */ List.of(),
+                /* defaultClass= */ 0),
+            /* patienceMillis= */ 5_000,
+            /* answerMarginMillis= */ 20,
+            /* maxCalls= */ 50,
+            /* retryAfterSeconds= */ 1,
             Timing.STANDARD,
             SipStack.Limits.DEFAULT);
     frontEnd = network.addNode("controller", "x", this::newFrontEnd);
@@ -70,7 +81,10 @@
         CallController.Observer.NONE,
         FaultInjection.NONE.policyFactoryFor(config.policySettings(0), 3),
         persistent
-            ? new SipFront.Persistence(disk, new RecoveryRate.Budget(1_000, 100), () -> wallClock())
+            ? new SipFront.Persistence(
+                disk,
+                new RecoveryRate.Budget(/* callsPerSecond= */ 1_000, /* verifyDelayMillis= */ 100),
+                () -> wallClock())
             : null);
   }
 
@@ -96,9 +110,13 @@
       entries.add(
           new ExchangeDirectory.Entry("e" + i, i, domain, address, ExchangeState.IN_SERVICE, 0));
     }
-    frontEnd.controller().updateDirectory(new ExchangeDirectory.Update(true, 0, 1, entries));
+    frontEnd
+        .controller()
+        .updateDirectory(
+            new ExchangeDirectory.Update(
+                /* complete= */ true, /* baseVersion= */ 0, /* version= */ 1, entries));
     for (int i = 1; i < 4; i++) {
-      frontEnd.controller().circuitsReported(i, 20, 20, 1);
+      frontEnd.controller().circuitsReported(i, /* free= */ 20, /* size= */ 20, /* version= */ 1);
     }
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/HardCasesTest.java
@@ -29,6 +29,7 @@
     assertEquals(1, harness.frontEnd.controller().callCount());
   }
 
+  /** The retransmissions get the same final answer or none. */
   @Test
   void anInviteRetransmittedAfterTheFinalAnswerMakesNoSecondCall() {
     String invite = harness.invite("c1", 2);
@@ -279,6 +280,7 @@
       single.runFor(20);
       RawNode.Message attempt = single.attempts().get(0);
       single.localSwitch.respond(attempt, "100 Trying", "", "");
+      // The INVITE arrives after 1 ms, and 20 ms have already passed.
       single.runFor(1 + 2_000 - 20 - before);
       single.localSwitch.respond(attempt, "200 OK", "remote", "");
       single.runFor(100);
@@ -298,9 +300,13 @@
     assertEquals(1, harness.attempts().size());
   }
 
+  /** The call is not tried more often than the policy decides. */
   @Test
   void aCallTurnedBackByATandemMakesAtMostTwoAttempts() {
-    harness.frontEnd.controller().circuitsReported(1, 0, 20, 2);
+    harness
+        .frontEnd
+        .controller()
+        .circuitsReported(1, /* free= */ 0, /* size= */ 20, /* version= */ 2);
     harness.invite("c1", 4);
     for (int i = 0; i < 8; i++) {
       harness.runFor(20);
--- a/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/MutationTest.java
@@ -74,7 +74,9 @@
   void aRetryWithinTheGuardTimeIsDetected() {
     FaultInjection faults =
         new FaultInjection(
-            UnaryOperator.identity(), ImmediateRetryPolicy::new, () -> new AttemptGuard(0, 250));
+            UnaryOperator.identity(),
+            ImmediateRetryPolicy::new,
+            () -> new AttemptGuard(/* guardTimeMillis= */ 0, /* drainGraceMillis= */ 250));
     assertTrue(play(faults).breachCount(Rule.RELEASE_AWAITED) > 0);
   }
 
@@ -82,7 +84,9 @@
   void aSetUpToADrainingExchangeIsDetected() {
     FaultInjection faults =
         new FaultInjection(
-            UnaryOperator.identity(), DrainIgnoringPolicy::new, () -> new AttemptGuard(300, 1e9));
+            UnaryOperator.identity(),
+            DrainIgnoringPolicy::new,
+            () -> new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 1e9));
     assertTrue(play(faults).breachCount(Rule.DRAINS_KEPT) > 0);
   }
 
@@ -115,7 +119,9 @@
         9_000,
         seed ->
             new LoadGenerator(config, seed)
-                .addSurge(new LoadGenerator.Surge(2_000, 8_000, 2.5, -1, null)),
+                .addSurge(
+                    new LoadGenerator.Surge(
+                        2_000, 8_000, 2.5, /* originExchange= */ -1, /* congestedNumber= */ null)),
         (network, fleet) -> {
           network.schedule(1_000, "list", () -> fleet.drain(3));
           network.schedule(5_500, "list", () -> fleet.stop(3));
@@ -191,7 +197,7 @@
     }
   }
 
-  /** A policy that forwards everything to the real one. */
+  /** A policy that forwards everything to the one that controllers use. */
   private static class ForwardingPolicy implements CallPolicy {
     final CallPolicy delegate;
     final Actions actions;
@@ -256,7 +262,7 @@
     @Override
     public void onAttemptEnded(double now, AttemptEnded ended) {
       if (ended.outcome() == Outcome.RESET && !ended.callFinished()) {
-        actions.send(ended.call(), ended.exchange(), 800);
+        actions.send(ended.call(), ended.exchange(), /* timeoutMillis= */ 800);
       } else {
         delegate.onAttemptEnded(now, ended);
       }
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartSweepTest.java
@@ -23,7 +23,8 @@
  */
 class RestartSweepTest {
   private static final int THREADS = Runtime.getRuntime().availableProcessors();
-  private static final RecoveryRate.Budget RECOVERY_BUDGET = new RecoveryRate.Budget(200, 300);
+  private static final RecoveryRate.Budget RECOVERY_BUDGET =
+      new RecoveryRate.Budget(/* callsPerSecond= */ 200, /* verifyDelayMillis= */ 300);
 
   @Test
   void fiftySeedsWithKillsAndFailingDisksKeepAllRules() throws InterruptedException {
--- a/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/RestartTest.java
@@ -105,7 +105,7 @@
     assertEquals(List.of("503"), harness.finalAnswers());
   }
 
-  /** After the restart the clock is an hour behind: the caller may no longer be waiting. */
+  /** After the restart the clock is an hour behind: whether the caller still waits is unknown. */
   @Test
   void noCallerIsAnsweredIfTheClockWasSetBack() {
     harness.invite("c1", 4);
@@ -147,7 +147,7 @@
     assertEquals(List.of("503"), harness.finalAnswers());
   }
 
-  /** The ends may be restarting, too: each is asked three times before the call is released. */
+  /** Both ends may be restarting, too: each is asked three times before the call is released. */
   @Test
   void unreachableEndsAreVerifiedAgainAndThenReleased() {
     establishCall();
