--- a/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -206,15 +206,15 @@
   public String stateSummary() {
     return "calls "
         + controller.callCount()
-        + ", unanswered "
+        + ", pending "
         + callers.pendingCount()
-        + ", standing "
+        + ", established "
         + switches.establishedCount()
-        + ", caller links "
+        + ", caller connections "
         + callers.connectionCount()
-        + ", switch links "
+        + ", switch connections "
         + switches.connectionCount()
-        + ", journal at "
+        + ", journal position "
         + journal.position();
   }
 
--- a/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
+++ b/isupfront/src/test/java/coveladder/isupfront/BadCallersTest.java
@@ -198,7 +198,7 @@
     harness.clock.advance(100);
     assertEquals(0, harness.frontEnd.controller().callCount());
     assertTrue(
-        harness.frontEnd.stateSummary().contains("caller links 1,"),
+        harness.frontEnd.stateSummary().contains("caller connections 1,"),
         harness.frontEnd.stateSummary());
   }
 }
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -119,7 +119,7 @@
         frontEnd::acceptCaller);
     loop.start();
     LOG.info(
-        "{} serves at {}:{}",
+        "{} listening on {}:{}",
         settings.name(),
         settings.listenAddress().host(),
         settings.listenAddress().port());
@@ -128,7 +128,7 @@
   }
 
   private void terminate() {
-    LOG.info("told to end; {}", frontEnd.stateSummary());
+    LOG.info("terminating; {}", frontEnd.stateSummary());
     reloader.stop();
     frontEnd.terminate();
     awaitTermination();
@@ -137,7 +137,7 @@
   /** Checks every 20 ms whether the front end has terminated, and then lets the process end. */
   private void awaitTermination() {
     if (frontEnd.isTerminated()) {
-      LOG.info("ends; {}; {}", frontEnd.stateSummary(), frontEnd.counters().takeChanges());
+      LOG.info("terminated; {}; {}", frontEnd.stateSummary(), frontEnd.counters().takeChanges());
       terminated.countDown();
     } else {
       loop.after(20, this::awaitTermination);
