--- a/app/src/main/java/coveladder/app/CallCommand.java
+++ b/app/src/main/java/coveladder/app/CallCommand.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes one call through a running controller and prints its messages with their hops. */
+/** Makes one call through a running controller and prints its messages and the exchanges passed. */
 @Command(
     name = "call",
     description = {
@@ -69,6 +69,7 @@
   @Option(names = "--hold", defaultValue = "1", description = "seconds from the answer to the BYE")
   private int hold;
 
+  /** Makes the call; waits up to 3 s longer than its patience and holding time. */
   @Override
   public Integer call() throws Exception {
     SipUri controllerUri = SipUri.parse("sip:" + via);
@@ -140,8 +141,8 @@
     @Override
     public void responseReceived(CallLeg leg, SipResponse response) {
       print(response.startLine());
-      for (String hop : response.headers("History-Info")) {
-        print("    by way of " + hop);
+      for (String historyEntry : response.headers("History-Info")) {
+        print("    by way of " + historyEntry);
       }
       for (String name : new String[] {"Reason", "Retry-After"}) {
         if (response.header(name) != null) {
@@ -157,6 +158,7 @@
       host.schedule(1000.0 * hold, () -> hangUp(leg));
     }
 
+    /** Sends the BYE; the command ends 200 ms later, in which the answer can arrive. */
     private void hangUp(CallLeg leg) {
       print("BYE");
       leg.bye("Q.850;cause=16");
--- a/app/src/main/java/coveladder/app/CallLog.java
+++ b/app/src/main/java/coveladder/app/CallLog.java
@@ -24,9 +24,9 @@
   private final MeterRegistry meterRegistry;
   private final List<String> classNames;
 
-  CallLog(MeterRegistry meters, List<String> classes) {
-    this.meterRegistry = meters;
-    this.classNames = classes;
+  CallLog(MeterRegistry meterRegistry, List<String> classNames) {
+    this.meterRegistry = meterRegistry;
+    this.classNames = classNames;
   }
 
   private String className(TrackedCall call) {
--- a/app/src/main/java/coveladder/app/ControlSocket.java
+++ b/app/src/main/java/coveladder/app/ControlSocket.java
@@ -29,16 +29,24 @@
  */
 final class ControlSocket implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControlSocket.class);
-  private static final int MAX_PATH_LENGTH = 100; // a socket address holds 108 bytes on Linux
+
+  /** Longest path of the socket; a socket address holds 108 bytes on Linux. */
+  private static final int MAX_PATH_CHARS = 100;
+
   private static final int READ_BUFFER_CHARS = 4_096;
   private static final int MAX_CONCURRENT_COMMANDS = 4;
+
+  /** Time after which a connection is closed, even during a command, s. */
   private static final long CONNECTION_TIMEOUT_SECONDS = 60;
 
   private final Path socketPath;
   private final ServerSocketChannel server;
   private final Map<String, CommandHandler> handlers = new ConcurrentHashMap<>();
+
+  /** Has one thread more than {@link #MAX_CONCURRENT_COMMANDS}, for the time-outs. */
   private final ScheduledExecutorService executor =
       Executors.newScheduledThreadPool(MAX_CONCURRENT_COMMANDS + 1);
+
   private volatile boolean open = true;
 
   /** Executes one command. */
@@ -66,7 +74,7 @@
   /** The path of the socket in a state folder. */
   static Path socketPath(Path folder) throws IOException {
     Path path = folder.toAbsolutePath().resolve("control");
-    if (path.toString().length() > MAX_PATH_LENGTH) {
+    if (path.toString().length() > MAX_PATH_CHARS) {
       throw new IOException(
           "state folder " + folder + " has a name too long for its control socket");
     }
@@ -74,7 +82,7 @@
   }
 
   /** Registers the handler of a command. */
-  void serve(String name, CommandHandler handler) {
+  void registerHandler(String name, CommandHandler handler) {
     handlers.put(name, handler);
   }
 
@@ -84,14 +92,14 @@
         SocketChannel client = server.accept();
         ScheduledFuture<?> timeout =
             executor.schedule(() -> close(client), CONNECTION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        executor.execute(() -> serve(client, timeout));
+        executor.execute(() -> handleConnection(client, timeout));
       } catch (IOException e) {
         open = false;
       }
     }
   }
 
-  private void serve(SocketChannel client, ScheduledFuture<?> timeout) {
+  private void handleConnection(SocketChannel client, ScheduledFuture<?> timeout) {
     try (client;
         BufferedReader in =
             new BufferedReader(
--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -37,6 +37,8 @@
   private static final int MAX_QUEUED_TASKS = 100_000;
   private static final double DRAIN_CHECK_INTERVAL_MILLIS = 20;
   private static final double RECOVERY_CHECK_INTERVAL_MILLIS = 500;
+
+  /** Time for the BYEs of released calls to be answered before the sockets close, ms. */
   private static final double BYE_TIMEOUT_MILLIS = 300;
 
   private final Sockets sockets;
@@ -54,7 +56,7 @@
   private boolean shuttingDown;
   private volatile boolean handedOver;
 
-  /** Opens the state store if there is one, binds all sockets and starts to accept calls. */
+  /** Opens the state store if one is configured, binds all sockets and starts to accept calls. */
   public Daemon(Settings settings) throws IOException, DiskStore.UnusableFolderException {
     this.settings = settings;
     loop = new EventLoop("controller", System.nanoTime(), MAX_QUEUED_TASKS);
@@ -74,7 +76,7 @@
       }
       if (store != null) {
         controlSocket = new ControlSocket(settings.state().folder());
-        controlSocket.serve("hand-over", this::handOver);
+        controlSocket.registerHandler("hand-over", this::handOver);
       }
     } catch (IOException e) {
       sockets.close();
@@ -223,18 +225,22 @@
     return metricsServer == null ? -1 : metricsServer.getAddress().getPort();
   }
 
-  /** Applies the settings that can change in service; returns the names of changed others. */
+  /**
+   * Applies the settings that can change in service. Returns the names of the changed settings that
+   * take effect only after a restart.
+   */
   public List<String> reload(Settings newSettings) {
-    List<String> unchangedSettings = settings.changesNeedingRestart(newSettings);
+    List<String> settingsNeedingRestart = settings.changesNeedingRestart(newSettings);
     loop.offer(() -> frontEnd.reload(newSettings.frontSettings()));
     LogLevel.set(newSettings.logLevel());
     settings = newSettings;
-    if (unchangedSettings.isEmpty()) {
+    if (settingsNeedingRestart.isEmpty()) {
       LOG.info("settings reloaded");
     } else {
-      LOG.warn("settings reloaded, but these need a restart", kv("unchanged", unchangedSettings));
+      LOG.warn(
+          "settings reloaded, but these need a restart", kv("unchanged", settingsNeedingRestart));
     }
-    return unchangedSettings;
+    return settingsNeedingRestart;
   }
 
   /**
@@ -258,8 +264,8 @@
 
   /**
    * Hands the established calls over to another process: refuses new calls, lets pending set-ups
-   * end within the drain timeout, closes all signalling sockets and reports that. Set-ups that are
-   * still pending then are recovered by the other process as after a kill.
+   * end within the drain timeout, closes all signalling sockets and reports the time. Set-ups that
+   * are still pending then are recovered by the other process as after a kill.
    */
   private void handOver(PrintWriter answers) throws InterruptedException {
     answers.println("draining");
@@ -279,11 +285,15 @@
     terminated.countDown();
   }
 
-  private void pollDrain(double deadline, CountDownLatch drained) {
+  /**
+   * Waits until no call is pending and no attempt is outstanding, or until the deadline, and
+   * reports one check interval later that the controller has drained.
+   */
+  private void pollDrain(double deadlineMillis, CountDownLatch drained) {
     boolean busy =
         frontEnd.controller().pendingCallCount() + frontEnd.controller().outstandingAttempts() > 0;
-    if (busy && loop.now() < deadline) {
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS / 4, () -> pollDrain(deadline, drained));
+    if (busy && loop.now() < deadlineMillis) {
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS / 4, () -> pollDrain(deadlineMillis, drained));
     } else {
       loop.after(DRAIN_CHECK_INTERVAL_MILLIS, drained::countDown);
     }
@@ -299,14 +309,15 @@
       shuttingDown = true;
       LOG.info("shutting down", kv("unanswered", frontEnd.controller().pendingCallCount()));
       frontEnd.shutDown();
-      double deadline = loop.now() + settings.calls().drainTimeoutMillis();
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadline));
+      double deadlineMillis = loop.now() + settings.calls().drainTimeoutMillis();
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadlineMillis));
     }
   }
 
-  private void pollOutstandingAttempts(double deadline) {
-    if (frontEnd.controller().outstandingAttempts() > 0 && loop.now() < deadline) {
-      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadline));
+  /** Waits until no attempt is outstanding, or until the deadline; then releases all calls. */
+  private void pollOutstandingAttempts(double deadlineMillis) {
+    if (frontEnd.controller().outstandingAttempts() > 0 && loop.now() < deadlineMillis) {
+      loop.after(DRAIN_CHECK_INTERVAL_MILLIS, () -> pollOutstandingAttempts(deadlineMillis));
       return;
     }
     frontEnd.controller().releaseEstablished();
--- a/app/src/main/java/coveladder/app/RehearseCommand.java
+++ b/app/src/main/java/coveladder/app/RehearseCommand.java
@@ -40,8 +40,8 @@
   @Parameters(
       paramLabel = "NAME",
       description = {
-        "a scenario; 'small' or 'restarts' with --seeds; 'boundaries': one run for each message",
-        "and write of a scenario, with a kill there; 'list' prints the scenarios"
+        "a scenario; 'small' or 'restarts' with --seeds; 'boundaries': a scenario rerun",
+        "with a kill at each of its messages and writes in turn; 'list' prints the scenarios"
       })
   private String name;
 
@@ -71,7 +71,7 @@
       names = "--ends",
       defaultValue = "60",
       description =
-          "how many times controllers end in restart, region and upgrade (${DEFAULT-VALUE})")
+          "number of restarts or take-overs in restart, region and upgrade (${DEFAULT-VALUE})")
   private int ends;
 
   @Override
@@ -80,7 +80,7 @@
     if (name.equals("list")) {
       Scenarios.all()
           .values()
-          .forEach(day -> out.printf("%-14s %s%n", day.name(), day.description()));
+          .forEach(scenario -> out.printf("%-14s %s%n", scenario.name(), scenario.description()));
       out.println("restart        controllers as processes, killed by SIGKILL amid 5,000 calls");
       out.println("region         the same, all of them at once; try --ends 5");
       out.println("upgrade        the same, each taken over by a new process instead");
@@ -100,21 +100,21 @@
     if (seeds > 0) {
       return sweep(out, sweepOfSeeds(), seed, seeds);
     }
-    Scenario day = name.equals("small") ? Scenarios.small(seed) : Scenarios.all().get(name);
-    if (day == null) {
+    Scenario scenario = name.equals("small") ? Scenarios.small(seed) : Scenarios.all().get(name);
+    if (scenario == null) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
           "no day '" + name + "'; there are small, " + String.join(", ", Scenarios.all().keySet()));
     }
-    out.printf("%s (seed %d): %s%n%n", day.name(), seed, day.description());
+    out.printf("%s (seed %d): %s%n%n", scenario.name(), seed, scenario.description());
     out.flush();
-    return play(out, day);
+    return play(out, scenario);
   }
 
-  private int play(PrintWriter out, Scenario day) throws IOException {
+  private int play(PrintWriter out, Scenario scenario) throws IOException {
     long startNanos = System.nanoTime();
-    try (Network world = simulated ? new SimulatedNetwork(seed) : new SocketNetwork(seed)) {
-      Rehearsal.Result result = Rehearsal.play(world, day, seed, FaultInjection.NONE);
+    try (Network network = simulated ? new SimulatedNetwork(seed) : new SocketNetwork(seed)) {
+      Rehearsal.Result result = Rehearsal.play(network, scenario, seed, FaultInjection.NONE);
       out.println(new ServiceReport(result.fleetConfig(), result.callResults()));
       out.println(result.ruleReport());
       int unfinished = result.plannedCallCount() - result.callResults().size();
@@ -129,21 +129,27 @@
     }
   }
 
+  /** Returns the sweep that runs the named scenario once for each seed. */
   private SeedSweep sweepOfSeeds() {
     return switch (name) {
       case "small" -> SeedSweep.ofScenarios(Scenarios::small, FaultInjection.NONE);
       case "restarts" -> SeedSweep.ofRestarts();
-      default -> SeedSweep.ofScenarios(s -> day(), FaultInjection.NONE);
+      default -> SeedSweep.ofScenarios(s -> scenario(), FaultInjection.NONE);
     };
   }
 
-  private int sweep(PrintWriter out, SeedSweep sweep, long first, int count)
+  /**
+   * Runs a sweep and prints its failed runs.
+   *
+   * @param firstNumber number of the first run: its seed or its boundary
+   */
+  private int sweep(PrintWriter out, SeedSweep sweep, long firstNumber, int count)
       throws InterruptedException {
     long startNanos = System.nanoTime();
-    List<SeedSweep.FailedRun> failing =
-        sweep.run(first, count, Runtime.getRuntime().availableProcessors());
+    List<SeedSweep.FailedRun> failedRuns =
+        sweep.run(firstNumber, count, Runtime.getRuntime().availableProcessors());
     double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
-    failing.forEach(
+    failedRuns.forEach(
         failure -> out.printf("number %d:%n%s%n", failure.seed(), failure.description()));
     out.printf(
         "%d played, %d calls, %.1f s, %.0f a minute; %d failing%n",
@@ -151,15 +157,15 @@
         sweep.callCount(),
         elapsedSeconds,
         sweep.runCount() * 60 / elapsedSeconds,
-        failing.size());
-    return failing.isEmpty() ? 0 : 1;
+        failedRuns.size());
+    return failedRuns.isEmpty() ? 0 : 1;
   }
 
-  private Scenario day() {
-    Scenario day = Scenarios.all().get(name);
-    if (day == null) {
+  private Scenario scenario() {
+    Scenario scenario = Scenarios.all().get(name);
+    if (scenario == null) {
       throw new IllegalArgumentException("no day '" + name + "'");
     }
-    return day;
+    return scenario;
   }
 }
--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -40,23 +40,29 @@
  * stand-ins and the checker run in this process throughout.
  */
 final class RestartRehearsal {
+  /** Time from the start of all controllers until the load begins, ms. */
   private static final double LOAD_START_MILLIS = 3_000;
+
+  /** Longest time after the load for calls to end, and then for circuits to be released, ms. */
   private static final double SETTLE_TIMEOUT_MILLIS = 60_000;
+
+  /** Time from a set-up until the called party answers, ms. */
   private static final double ANSWER_DELAY_MILLIS = 300;
+
   private static final String MESSAGE_LOG_NAME = "wire.txt";
 
   private final Mode mode;
   private final long seed;
   private final int callCount;
-  private final int endCount;
+  private final int restartCount;
   private final PrintWriter out;
   private final SplittableRandom random;
-  private final FleetConfig plan;
+  private final FleetConfig fleetConfig;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final Map<String, PlannedCall> establishedAtRestart = new TreeMap<>();
   private final List<Double> listeningPausesMillis = new ArrayList<>();
   private final List<Double> downtimesMillis = new ArrayList<>();
-  private SocketNetwork world;
+  private SocketNetwork network;
   private Fleet fleet;
 
   /** How controllers are ended and started again. */
@@ -73,17 +79,18 @@
    * Creates a rehearsal.
    *
    * @param callCount approximate number of calls
-   * @param endCount how many times a controller, or with {@link Mode#REGION} all of them, ends
+   * @param restartCount number of restarts or take-overs; with {@link Mode#REGION} each of all
+   *     controllers
    */
-  RestartRehearsal(Mode mode, long seed, int callCount, int endCount, PrintWriter out) {
+  RestartRehearsal(Mode mode, long seed, int callCount, int restartCount, PrintWriter out) {
     this.mode = mode;
     this.seed = seed;
     this.callCount = callCount;
-    this.endCount = endCount;
+    this.restartCount = restartCount;
     this.out = out;
     this.random = new SplittableRandom(seed ^ 0xfa11);
     FleetConfig eightExchanges = FleetConfig.eightExchanges();
-    this.plan =
+    this.fleetConfig =
         new FleetConfig(
             eightExchanges.exchangeCount(),
             eightExchanges.circuitsPerGroup(),
@@ -103,10 +110,10 @@
     Path folder = Files.createTempDirectory("coveladder-rehearsal");
     Thread shutdownHook = new Thread(this::killAll, "kill");
     Runtime.getRuntime().addShutdownHook(shutdownHook);
-    try (SocketNetwork socketWorld = new SocketNetwork(seed)) {
-      world = socketWorld;
+    try (SocketNetwork socketNetwork = new SocketNetwork(seed)) {
+      network = socketNetwork;
       Map<Integer, Hop> addresses = chooseAddresses();
-      fleet = new Fleet(world, plan, seed, addresses);
+      fleet = new Fleet(network, fleetConfig, seed, addresses);
       startAll(folder, addresses);
       boolean clean = runLoad(addresses);
       if (!clean) {
@@ -128,7 +135,7 @@
   private void saveMessages(Path folder) throws IOException {
     try (PrintWriter writer =
         new PrintWriter(Files.newBufferedWriter(folder.resolve(MESSAGE_LOG_NAME), ISO_8859_1))) {
-      world.recorder().print(writer);
+      network.recorder().print(writer);
     }
     out.println("logs and wire of this run: " + folder);
   }
@@ -142,7 +149,7 @@
   private Map<Integer, Hop> chooseAddresses() throws IOException {
     Map<Integer, Hop> addresses = new HashMap<>();
     int port = 16_000 + random.nextInt(8_000);
-    while (addresses.size() < plan.exchangeCount()) {
+    while (addresses.size() < fleetConfig.exchangeCount()) {
       port++;
       if (isFree(port)) {
         addresses.put(addresses.size(), new Hop(Transport.UDP, "127.0.0.1", port));
@@ -163,14 +170,15 @@
 
   private void startAll(Path folder, Map<Integer, Hop> addresses)
       throws IOException, InterruptedException {
-    int listPort = world.reserveAddress("list").port();
-    for (int i = 0; i < plan.exchangeCount(); i++) {
+    int listPort = network.reserveAddress("list").port();
+    for (int i = 0; i < fleetConfig.exchangeCount(); i++) {
       Path settingsFile = folder.resolve("x" + i + ".kdl");
-      int switchPort = world.reserveAddress(Fleet.switchName(i)).port();
+      int switchPort = network.reserveAddress(Fleet.switchName(i)).port();
       Path stateFolder = folder.resolve("state-" + i);
       Files.writeString(
           settingsFile,
-          SettingsText.of(plan, i, addresses.get(i).port(), switchPort, listPort, stateFolder));
+          SettingsText.of(
+              fleetConfig, i, addresses.get(i).port(), switchPort, listPort, stateFolder));
       ControllerProcess controller =
           new ControllerProcess(settingsFile, folder.resolve("x" + i + ".log"));
       controllers.add(controller);
@@ -202,32 +210,37 @@
   // ---- Run ----------------------------------------------------------------------------------
 
   private boolean runLoad(Map<Integer, Hop> addresses) throws IOException, InterruptedException {
-    double durationMillis = 1_000.0 * callCount / (plan.callsPerSecond() * plan.exchangeCount());
-    double startMillis = world.now() + LOAD_START_MILLIS;
+    double durationMillis =
+        1_000.0 * callCount / (fleetConfig.callsPerSecond() * fleetConfig.exchangeCount());
+    double startMillis = network.now() + LOAD_START_MILLIS;
     List<PlannedCall> plannedCalls = new ArrayList<>();
-    for (PlannedCall call : new LoadGenerator(plan, seed).generateUntil(durationMillis)) {
+    for (PlannedCall call : new LoadGenerator(fleetConfig, seed).generateUntil(durationMillis)) {
       plannedCalls.add(call.delayedBy(startMillis));
     }
     fleet.setPlannedCalls(plannedCalls);
     Thread restarter = new Thread(() -> restartControllers(startMillis, durationMillis), "ender");
     restarter.start();
-    world.runUntil(
+    network.runUntil(
         startMillis + durationMillis + SETTLE_TIMEOUT_MILLIS,
-        () -> world.now() > startMillis + durationMillis && fleet.callers().isDone());
+        () -> network.now() > startMillis + durationMillis && fleet.callers().isDone());
     restarter.join();
-    world.runUntil(world.now() + SETTLE_TIMEOUT_MILLIS, () -> fleet.trunks().busyCircuits() == 0);
-    world.runUntil(world.now() + 1_000, () -> false);
+    network.runUntil(
+        network.now() + SETTLE_TIMEOUT_MILLIS, () -> fleet.trunks().busyCircuits() == 0);
+    network.runUntil(network.now() + 1_000, () -> false); // runs for 1 s more
     return report(addresses, plannedCalls.size());
   }
 
-  /** Restarts a random controller {@code endCount} times, spread over the time of the calls. */
+  /**
+   * Restarts a random controller {@code restartCount} times, at random times spread over the load
+   * except its first second.
+   */
   private void restartControllers(double startMillis, double durationMillis) {
-    double intervalMillis = (durationMillis - 1_000) / endCount;
+    double intervalMillis = (durationMillis - 1_000) / restartCount;
     try {
-      for (int i = 0; i < endCount; i++) {
+      for (int i = 0; i < restartCount; i++) {
         double atMillis = startMillis + 1_000 + intervalMillis * (i + random.nextDouble() / 2);
-        Thread.sleep(Math.max(0, Math.round(atMillis - world.now())));
-        restart(random.nextInt(plan.exchangeCount()));
+        Thread.sleep(Math.max(0, Math.round(atMillis - network.now())));
+        restart(random.nextInt(fleetConfig.exchangeCount()));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -237,32 +250,35 @@
     }
   }
 
-  /** Kills and starts a controller or has it taken over; in {@link Mode#REGION} restarts all. */
-  private void restart(int number) throws IOException, InterruptedException {
+  /**
+   * Kills and starts a controller, or has it taken over; in {@link Mode#REGION} restarts all. The
+   * notes for the checker are the same for a take-over as for a kill.
+   */
+  private void restart(int exchange) throws IOException, InterruptedException {
     if (mode == Mode.REGION) {
       restartAll();
       return;
     }
-    recordEstablishedCalls(number);
-    String name = Fleet.controllerName(number);
-    world.recorder().recordNote(world.now(), name, "killed");
-    double endedAt = world.now();
+    recordEstablishedCalls(exchange);
+    String name = Fleet.controllerName(exchange);
+    network.recorder().recordNote(network.now(), name, "killed");
+    double endedAtMillis = network.now();
     if (mode == Mode.UPGRADE) {
-      listeningPausesMillis.add(controllers.get(number).takeOver());
+      listeningPausesMillis.add(controllers.get(exchange).takeOver());
     } else {
-      controllers.get(number).kill();
-      controllers.get(number).launch();
-      controllers.get(number).awaitReady();
+      controllers.get(exchange).kill();
+      controllers.get(exchange).launch();
+      controllers.get(exchange).awaitReady();
     }
-    world.recorder().recordNote(world.now(), name, "started");
-    downtimesMillis.add(world.now() - endedAt);
+    network.recorder().recordNote(network.now(), name, "started");
+    downtimesMillis.add(network.now() - endedAtMillis);
   }
 
   private void restartAll() throws IOException, InterruptedException {
-    double endedAt = world.now();
+    double endedAtMillis = network.now();
     for (int i = 0; i < controllers.size(); i++) {
       recordEstablishedCalls(i);
-      world.recorder().recordNote(world.now(), Fleet.controllerName(i), "killed");
+      network.recorder().recordNote(network.now(), Fleet.controllerName(i), "killed");
       controllers.get(i).kill();
     }
     for (ControllerProcess controller : controllers) {
@@ -270,21 +286,21 @@
     }
     for (int i = 0; i < controllers.size(); i++) {
       controllers.get(i).awaitReady();
-      world.recorder().recordNote(world.now(), Fleet.controllerName(i), "started");
+      network.recorder().recordNote(network.now(), Fleet.controllerName(i), "started");
     }
-    downtimesMillis.add(world.now() - endedAt);
+    downtimesMillis.add(network.now() - endedAtMillis);
   }
 
-  /** Records the calls that are established through a controller that is about to end. */
-  private void recordEstablishedCalls(int number) throws InterruptedException {
+  /** Records the calls that are established through a controller before it is restarted. */
+  private void recordEstablishedCalls(int exchange) throws InterruptedException {
     CountDownLatch recorded = new CountDownLatch(1);
-    world.schedule(
-        world.now(),
+    network.schedule(
+        network.now(),
         "callers",
         () -> {
           fleet
               .callers()
-              .establishedCalls(number)
+              .establishedCalls(exchange)
               .forEach(call -> establishedAtRestart.put(call.sessionIdPrefix(), call));
           recorded.countDown();
         });
@@ -293,41 +309,41 @@
 
   // ---- Report -------------------------------------------------------------------------------
 
-  private boolean report(Map<Integer, Hop> addresses, int plannedCalls) throws IOException {
+  private boolean report(Map<Integer, Hop> addresses, int plannedCallCount) throws IOException {
     Map<String, Hop> peers = new HashMap<>();
-    peers.put("list", world.reserveAddress("list"));
-    peers.put("callers", world.reserveAddress("callers"));
-    for (int i = 0; i < plan.exchangeCount(); i++) {
-      peers.put(Fleet.switchName(i), world.reserveAddress(Fleet.switchName(i)));
+    peers.put("list", network.reserveAddress("list"));
+    peers.put("callers", network.reserveAddress("callers"));
+    for (int i = 0; i < fleetConfig.exchangeCount(); i++) {
+      peers.put(Fleet.switchName(i), network.reserveAddress(Fleet.switchName(i)));
     }
-    RuleReport verdict =
+    RuleReport ruleReport =
         Rehearsal.checkRules(
             new ControllerTrafficView(addresses, peers)
-                .withControllerEntries(world.recorder().entries()),
-            plan);
+                .withControllerEntries(network.recorder().entries()),
+            fleetConfig);
     List<CallResult> results = fleet.callResults();
-    out.println(new ServiceReport(plan, results));
-    out.println(verdict);
+    out.println(new ServiceReport(fleetConfig, results));
+    out.println(ruleReport);
     printSurvivors(results);
-    printTimes();
-    int unfinished = plannedCalls - results.size();
+    printDowntimes();
+    int unfinished = plannedCallCount - results.size();
     int busyCircuits = fleet.trunks().busyCircuits();
     int errors = printErrors();
     out.printf(
         "%d calls, %d without an end, %d circuits still held%n",
-        plannedCalls, unfinished, busyCircuits);
+        plannedCallCount, unfinished, busyCircuits);
     boolean clean =
-        verdict.breachCount() == 0 && unfinished == 0 && busyCircuits == 0 && errors == 0;
+        ruleReport.breachCount() == 0 && unfinished == 0 && busyCircuits == 0 && errors == 0;
     out.println(clean ? "all rules hold" : "NOT CLEAN");
     return clean;
   }
 
   private void printSurvivors(List<CallResult> results) {
     out.println("calls that stood when their controller ended:");
-    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
+    for (FleetConfig.CallClassConfig callClass : fleetConfig.callClasses()) {
       List<CallResult> classResults =
           results.stream()
-              .filter(result -> result.plannedCall().priority().equals(kind.priority()))
+              .filter(result -> result.plannedCall().priority().equals(callClass.priority()))
               .filter(
                   result ->
                       establishedAtRestart.containsKey(result.plannedCall().sessionIdPrefix()))
@@ -338,11 +354,11 @@
               .count();
       out.printf(
           "  %-15s %6d stood  %6d stood on to their end%n",
-          kind.name(), classResults.size(), survived);
+          callClass.name(), classResults.size(), survived);
     }
   }
 
-  private void printTimes() {
+  private void printDowntimes() {
     double[] downtimes =
         downtimesMillis.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     out.printf(
@@ -357,13 +373,14 @@
     }
   }
 
-  private static String medianAndLongest(double[] sorted) {
-    if (sorted.length == 0) {
+  private static String medianAndLongest(double[] sortedMillis) {
+    if (sortedMillis.length == 0) {
       return "none";
     }
-    double median = sorted[sorted.length / 2];
-    double longest = Arrays.stream(sorted).max().orElse(0);
-    return String.format(Locale.ROOT, "median %.0f ms, longest %.0f ms", median, longest);
+    double medianMillis = sortedMillis[sortedMillis.length / 2];
+    double longestMillis = Arrays.stream(sortedMillis).max().orElse(0);
+    return String.format(
+        Locale.ROOT, "median %.0f ms, longest %.0f ms", medianMillis, longestMillis);
   }
 
   private int printErrors() throws IOException {
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -80,13 +80,13 @@
    *     may still be sent, ms
    * @param patienceMillis patience of a caller whose INVITE has no Expires, ms
    * @param answerMarginMillis time reserved for a final answer to reach the caller, ms
-   * @param maxRetryAfterMillis longest retry delay that a refused caller observes, ms; 0: callers
-   *     cannot be asked to wait
+   * @param maxRetryAfterMillis longest retry delay given to refused callers, ms; 0: none is given
    * @param mayProbe whether exchanges may be probed
    * @param mayBroadcast whether controllers may send each other messages
    * @param directoryOnRequest whether the policy must subscribe to the exchange directory
    * @param maxCalls maximum number of simultaneous calls
-   * @param retryAfterSeconds Retry-After at shutdown and at the maximum number of calls, s
+   * @param retryAfterSeconds Retry-After of calls refused at shutdown or at the maximum number of
+   *     calls, s
    * @param drainTimeoutMillis longest time that pending calls have to end at shutdown, ms
    */
   public record CallSettings(
@@ -109,7 +109,8 @@
    * @param coldShare share of its capacity at which a processor starts
    * @param rampMillis time from its start until a processor has its full capacity, ms
    * @param coldMultiple multiple of its present capacity that a cold processor can bear
-   * @param windowMillis length of the window over which that load is counted, ms
+   * @param windowMillis length of the window over which the set-ups of a cold processor are
+   *     counted, ms
    */
   public record ColdStartSettings(
       double coldShare, double rampMillis, double coldMultiple, double windowMillis) {}
@@ -137,15 +138,15 @@
         exchangeNumber,
         controllerCount,
         classes.stream().map(ClassSettings::policyClass).toList(),
-        5,
+        5, // shortest difference between the clocks of two events, ms
         calls.maxAttempts(),
-        true,
+        true, // attempts may be cancelled
         calls.mayProbe(),
         calls.mayBroadcast(),
         calls.maxRetryAfterMillis(),
         calls.directoryOnRequest(),
         calls.guardMillis(),
-        timing.t1(),
+        timing.t1(), // a pending INVITE is retransmitted after T1
         coldStart.coldShare(),
         coldStart.rampMillis(),
         coldStart.coldMultiple(),
@@ -210,7 +211,10 @@
     return new ClassTable(names, priorities, prefixes, defaultType);
   }
 
-  /** The names of the settings that differ in {@code other} and change only by a restart. */
+  /**
+   * Returns the names of the settings that differ in {@code other} and take effect only after a
+   * restart.
+   */
   public List<String> changesNeedingRestart(Settings other) {
     List<String> names = new ArrayList<>();
     addIfChanged(names, "listen", listenAddress, other.listenAddress);
--- a/app/src/main/java/coveladder/app/SettingsFile.java
+++ b/app/src/main/java/coveladder/app/SettingsFile.java
@@ -20,6 +20,7 @@
 
 /** Reads settings from a KDL document and reports all problems in it at once. */
 public final class SettingsFile {
+  /** Nodes that may appear at most once. */
   private static final List<String> SINGLE_NODES =
       List.of(
           "listen",
@@ -36,8 +37,11 @@
           "metrics",
           "log",
           "seed");
+
+  /** Nodes without which a controller cannot run; one class is required besides. */
   private static final List<String> REQUIRED_NODES =
       List.of("listen", "domain", "exchange", "fleet", "switch", "list");
+
   private static final double HOUR_MILLIS = 3_600_000;
 
   private final Problems problems;
@@ -88,8 +92,8 @@
     return settings;
   }
 
-  private Settings parse(List<KdlNode> document) {
-    for (KdlNode node : document) {
+  private Settings parse(List<KdlNode> topLevelNodes) {
+    for (KdlNode node : topLevelNodes) {
       addNode(node);
     }
     for (String name : REQUIRED_NODES) {
@@ -111,7 +115,7 @@
       knownNames.add("class");
       problems.addUnknownName(node.line(), node.column(), "node", node.name(), knownNames);
     } else if (nodes.putIfAbsent(node.name(), node) != null) {
-      problems.add(node, "node " + node.name() + " stands twice");
+      problems.add(node, "node " + node.name() + " appears more than once");
     }
   }
 
@@ -139,7 +143,7 @@
     Settings settings =
         new Settings(
             address("listen", false, 0),
-            section("domain").argument("the own domain"),
+            section("domain").argument("the domain of the local exchange"),
             exchangeNumber,
             controllerCount,
             address("switch", true, 1),
@@ -185,10 +189,10 @@
     String name = section.argument("its name");
     double worth = section.number("worth", 1, 0, 1e9);
     double lateWorth = section.number("late", 0, 0, 1);
-    double aim = section.number("aim", Double.NaN, 1, HOUR_MILLIS);
-    double callerTimeout = section.number("give-up", Double.NaN, 1, HOUR_MILLIS);
+    double aimMillis = section.number("aim", Double.NaN, 1, HOUR_MILLIS);
+    double callerTimeoutMillis = section.number("give-up", Double.NaN, 1, HOUR_MILLIS);
     int width = section.integer("width", 1, 1, 1000);
-    double hold = section.number("hold", Double.NaN, 1, 24 * HOUR_MILLIS);
+    double holdMillis = section.number("hold", Double.NaN, 1, 24 * HOUR_MILLIS);
     String priority = section.text("priority", "");
     String prefixes = section.text("prefixes", "");
     boolean isDefault = section.flag("default");
@@ -196,7 +200,8 @@
     List<String> prefixList =
         prefixes.isBlank() ? List.of() : List.of(prefixes.trim().split("[ ,]+"));
     CallClass policyClass =
-        new CallClass(worth, lateWorth, aim, callerTimeout, width, hold, List.of());
+        new CallClass(
+            worth, lateWorth, aimMillis, callerTimeoutMillis, width, holdMillis, List.of());
     return new Settings.ClassSettings(name, priority, prefixList, isDefault, policyClass);
   }
 
--- a/app/src/main/java/coveladder/app/SettingsText.java
+++ b/app/src/main/java/coveladder/app/SettingsText.java
@@ -4,13 +4,14 @@
 import coveladder.rehearsal.FleetConfig;
 import java.nio.file.Path;
 
-/** Writes the settings document of a controller whose neighbours are stand-ins on this host. */
+/** Writes the settings document of a controller that works with stand-ins on this host. */
 final class SettingsText {
   private SettingsText() {}
 
   /**
    * Returns the settings document of one controller.
    *
+   * @param fleetConfig network of the exchanges, with its call classes
    * @param exchange number of its exchange
    * @param listenPort port on which it listens
    * @param switchPort port of the local switch
@@ -18,7 +19,7 @@
    * @param stateFolder folder in which it stores its calls
    */
   static String of(
-      FleetConfig plan,
+      FleetConfig fleetConfig,
       int exchange,
       int listenPort,
       int switchPort,
@@ -29,20 +30,27 @@
     text.append("listen port=").append(listenPort).append('\n');
     text.append("domain \"").append(Fleet.domain(exchange)).append("\"\n");
     text.append("exchange number=").append(exchange).append('\n');
-    text.append("fleet controllers=").append(plan.exchangeCount()).append('\n');
+    text.append("fleet controllers=").append(fleetConfig.exchangeCount()).append('\n');
     text.append("switch port=").append(switchPort).append('\n');
     text.append("list port=").append(listPort).append('\n');
     text.append("state folder=\"").append(stateFolder.toAbsolutePath()).append("\"\n");
-    for (FleetConfig.CallClassConfig kind : plan.callClasses()) {
-      text.append("class \"").append(kind.name()).append("\" worth=").append(kind.worth());
-      text.append(" late=").append(kind.lateWorth()).append(" aim=").append(kind.aimMillis());
+    for (FleetConfig.CallClassConfig callClass : fleetConfig.callClasses()) {
+      text.append("class \"")
+          .append(callClass.name())
+          .append("\" worth=")
+          .append(callClass.worth());
+      text.append(" late=")
+          .append(callClass.lateWorth())
+          .append(" aim=")
+          .append(callClass.aimMillis());
       text.append(" give-up=")
-          .append(kind.callerTimeoutMillis())
+          .append(callClass.callerTimeoutMillis())
           .append(" width=")
-          .append(kind.width());
-      text.append(" hold=").append(kind.holdMillis());
-      text.append(" priority=\"").append(kind.priority()).append('"');
-      text.append(kind == plan.callClasses().get(0) ? " default=#true" : "").append('\n');
+          .append(callClass.width());
+      text.append(" hold=").append(callClass.holdMillis());
+      text.append(" priority=\"").append(callClass.priority()).append('"');
+      text.append(callClass == fleetConfig.callClasses().get(0) ? " default=#true" : "")
+          .append('\n');
     }
     return text.append("seed value=").append(exchange + 1).append('\n').toString();
   }
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -37,8 +37,13 @@
     })
 final class StandinCommand implements Callable<Integer> {
   private static final String HOST = "127.0.0.1";
+
+  /** Difference of the first switch's port from the base port. */
   private static final int SWITCH_PORT_OFFSET = 10;
+
+  /** Difference of the first controller's port from the base port. */
   private static final int CONTROLLER_PORT_OFFSET = 100;
+
   private static final int MAX_EXCHANGES = 64;
 
   @Spec private CommandSpec spec;
@@ -70,20 +75,21 @@
           .println("--exchanges is 2 to " + MAX_EXCHANGES + ", not " + exchanges);
       return 2;
     }
-    FleetConfig plan = FleetConfig.eightExchanges().withSize(exchanges, 1);
+    FleetConfig fleetConfig = FleetConfig.eightExchanges().withSize(exchanges, 1);
     PrintWriter out = spec.commandLine().getOut();
     try (Sockets sockets = new Sockets(1);
         EventLoop loop = new EventLoop("standins", System.nanoTime(), 100_000)) {
-      startNodes(sockets, loop, plan);
+      startNodes(sockets, loop, fleetConfig);
       loop.start();
-      writeSettings(plan, out);
+      writeSettings(fleetConfig, out);
       out.flush();
       new CountDownLatch(1).await(minutes, TimeUnit.MINUTES);
     }
     return 0;
   }
 
-  private void startNodes(Sockets sockets, EventLoop loop, FleetConfig plan) throws IOException {
+  private void startNodes(Sockets sockets, EventLoop loop, FleetConfig fleetConfig)
+      throws IOException {
     Map<String, Hop> switchesByDomain = new HashMap<>();
     Map<String, Integer> exchangesByDomain = new HashMap<>();
     List<StandinDirectory.Entry> entries = new ArrayList<>();
@@ -97,29 +103,32 @@
       entries.add(
           new StandinDirectory.Entry("x" + i + "-0", i, domain, switchUri, "in-service", -1));
       for (int j = i + 1; j < exchanges; j++) {
-        trunks.addGroup(i, j, plan.circuitsPerGroup());
+        trunks.addGroup(i, j, fleetConfig.circuitsPerGroup());
       }
     }
-    SocketNode directoryNode = node(sockets, loop, basePort);
+    SocketNode directoryNode = newNode(sockets, loop, basePort);
     StandinDirectory directory =
-        new StandinDirectory(directoryNode, plan.timing(), plan.directoryDelayMillis());
+        new StandinDirectory(
+            directoryNode, fleetConfig.timing(), fleetConfig.directoryDelayMillis());
     directory.addEntries(entries);
     directoryNode.start(directory);
     for (int i = 0; i < exchanges; i++) {
-      SocketNode node = node(sockets, loop, basePort + SWITCH_PORT_OFFSET + i);
+      SocketNode node = newNode(sockets, loop, basePort + SWITCH_PORT_OFFSET + i);
       node.start(
           new StandinSwitch(
-              node, switchConfig(plan, i, switchesByDomain, exchangesByDomain), trunks));
+              node, switchConfig(fleetConfig, i, switchesByDomain, exchangesByDomain), trunks));
     }
   }
 
   private SwitchConfig switchConfig(
-      FleetConfig plan,
+      FleetConfig fleetConfig,
       int exchange,
       Map<String, Hop> switchesByDomain,
       Map<String, Integer> exchangesByDomain) {
     Map<String, Integer> widthsByPriority = new HashMap<>();
-    plan.callClasses().forEach(kind -> widthsByPriority.put(kind.priority(), kind.width()));
+    fleetConfig
+        .callClasses()
+        .forEach(callClass -> widthsByPriority.put(callClass.priority(), callClass.width()));
     Hop controller = new Hop(Transport.UDP, HOST, basePort + CONTROLLER_PORT_OFFSET + exchange);
     return new SwitchConfig(
         exchange,
@@ -129,23 +138,23 @@
         exchangesByDomain,
         widthsByPriority,
         Map.of(),
-        plan.answerDelayMillis(),
-        plan.processorModel(),
-        plan.timing());
+        fleetConfig.answerDelayMillis(),
+        fleetConfig.processorModel(),
+        fleetConfig.timing());
   }
 
-  private static SocketNode node(Sockets sockets, EventLoop loop, int port) throws IOException {
+  private static SocketNode newNode(Sockets sockets, EventLoop loop, int port) throws IOException {
     return new SocketNode(sockets, loop, SocketLimits.DEFAULTS, HOST, port, port);
   }
 
-  private void writeSettings(FleetConfig plan, PrintWriter out) throws IOException {
+  private void writeSettings(FleetConfig fleetConfig, PrintWriter out) throws IOException {
     Files.createDirectories(folder);
     for (int i = 0; i < exchanges; i++) {
       Path file = folder.resolve("x" + i + ".kdl");
       Files.writeString(
           file,
           SettingsText.of(
-              plan,
+              fleetConfig,
               i,
               basePort + CONTROLLER_PORT_OFFSET + i,
               basePort + SWITCH_PORT_OFFSET + i,
--- a/app/src/main/java/coveladder/app/StateCommand.java
+++ b/app/src/main/java/coveladder/app/StateCommand.java
@@ -90,12 +90,12 @@
             saved.attempt(),
             saved.exchange(),
             Instant.ofEpochMilli(saved.deadline()));
-    section("caller's leg", saved.callerLeg());
-    section("attempt's leg", saved.attemptLeg());
-    section("answer", saved.answer());
+    printSection("caller's leg", saved.callerLeg());
+    printSection("attempt's leg", saved.attemptLeg());
+    printSection("answer", saved.answer());
   }
 
-  private void section(String name, byte[] octets) {
+  private void printSection(String name, byte[] octets) {
     out().printf("-- %s, %d octets%n", name, octets.length);
     out().println(printable(octets));
   }
--- a/app/src/main/java/coveladder/app/TakeOver.java
+++ b/app/src/main/java/coveladder/app/TakeOver.java
@@ -61,8 +61,9 @@
   }
 
   /**
-   * Asks the running controller to hand over and returns when it closed its sockets, ns by {@link
-   * System#nanoTime}, which is common to the processes of a host; 0 if no controller is running.
+   * Asks the running controller to hand over and returns the time at which it closed its sockets,
+   * ns by {@link System#nanoTime}, which is common to the processes of a host; 0 if no controller
+   * is running.
    */
   private static long requestHandOver(Settings settings) throws IOException {
     try (ControlSocket.Connection connection =
--- a/app/src/main/java/coveladder/kdl/KdlNode.java
+++ b/app/src/main/java/coveladder/kdl/KdlNode.java
@@ -11,7 +11,7 @@
  * @param properties its properties; of several with the same name, the last one
  * @param children its children in order
  * @param line line of its name, from 1
- * @param column column of its name, from 1
+ * @param column column of its name, from 1, in code points
  */
 public record KdlNode(
     String name,
--- a/app/src/main/java/coveladder/kdl/KdlReader.java
+++ b/app/src/main/java/coveladder/kdl/KdlReader.java
@@ -14,7 +14,7 @@
   private static final String NON_IDENTIFIER_CHARACTERS = "\\/(){};[]\"#=";
 
   private final KdlScanner scanner;
-  private int depth;
+  private int nestingDepth;
 
   private KdlReader(String text) {
     scanner = new KdlScanner(text);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Skips blanks and returns whether there were any. */
+  /** Skips spaces, comments and line continuations; returns whether there were any. */
   private boolean skipBlanks() throws KdlException {
     boolean skippedAny = false;
     while (skipBlank()) {
@@ -187,7 +187,7 @@
   private List<KdlNode> readChildren() throws KdlException {
     int line = scanner.line();
     int column = scanner.column();
-    if (++depth > MAX_NESTING_DEPTH) {
+    if (++nestingDepth > MAX_NESTING_DEPTH) {
       throw scanner.error("nested more than " + MAX_NESTING_DEPTH + " levels deep");
     }
     scanner.next();
@@ -196,10 +196,15 @@
       throw new KdlException(line, column, "'{' without a matching '}'");
     }
     scanner.next();
-    depth--;
+    nestingDepth--;
     return nodes;
   }
 
+  /**
+   * Reads an argument or a property and adds it to the node's own.
+   *
+   * @param properties null: a property is read and discarded
+   */
   private void readEntry(List<KdlValue> arguments, Map<String, KdlValue> properties)
       throws KdlException {
     KdlValue argumentOrName = readValue();
@@ -212,6 +217,7 @@
     scanner.next();
     KdlValue propertyValue = readValue();
     if (properties != null) {
+      // Removed first, so that the last occurrence determines the order as well as the value.
       properties.remove(argumentOrName.text());
       properties.put(argumentOrName.text(), propertyValue);
     }
--- a/app/src/main/java/coveladder/kdl/KdlScanner.java
+++ b/app/src/main/java/coveladder/kdl/KdlScanner.java
@@ -11,6 +11,7 @@
     this.text = text;
   }
 
+  /** Whether a code point ends a line in KDL. */
   static boolean isNewline(int codePoint) {
     return codePoint == '\n'
         || codePoint == '\r'
@@ -21,6 +22,7 @@
         || codePoint == 0x2029;
   }
 
+  /** Whether a code point is a space in KDL, other than the end of a line. */
   static boolean isSpace(int codePoint) {
     return codePoint == ' '
         || codePoint == '\t'
@@ -44,6 +46,7 @@
     return column;
   }
 
+  /** Returns the next code point without consuming it. */
   int peek() {
     return text.codePointAt(position);
   }
@@ -65,12 +68,14 @@
     return codePoint;
   }
 
+  /** Consumes a number of code points. */
   void skip(int count) {
     for (int index = 0; index < count; index++) {
       next();
     }
   }
 
+  /** Consumes the rest of the line, without its end. */
   void skipLine() {
     while (!atEnd() && !isNewline(peek())) {
       next();
@@ -90,6 +95,7 @@
     return index > position && index < text.length() && text.charAt(index) == '"';
   }
 
+  /** Whether a number begins here: an optional sign and point, then a digit. */
   boolean startsNumber() {
     int index = position;
     if (index < text.length() && (text.charAt(index) == '+' || text.charAt(index) == '-')) {
@@ -101,6 +107,7 @@
     return index < text.length() && text.charAt(index) >= '0' && text.charAt(index) <= '9';
   }
 
+  /** Returns an exception for an error at the present position. */
   KdlException error(String reason) {
     return new KdlException(line, column, reason);
   }
--- a/app/src/main/java/coveladder/kdl/KdlStrings.java
+++ b/app/src/main/java/coveladder/kdl/KdlStrings.java
@@ -7,24 +7,26 @@
 final class KdlStrings {
   private KdlStrings() {}
 
+  /** Reads the string that begins at the scanner's position, with its quote or first {@code #}. */
   static String read(KdlScanner scanner) throws KdlException {
     int line = scanner.line();
     int column = scanner.column();
-    int hashes = 0;
+    int hashCount = 0;
     while (scanner.peek() == '#') {
-      hashes++;
+      hashCount++;
       scanner.next();
     }
     boolean multiline = scanner.startsWith("\"\"\"");
     scanner.skip(multiline ? 3 : 1);
-    String terminator = (multiline ? "\"\"\"" : "\"") + "#".repeat(hashes);
-    String raw = readUntil(scanner, terminator, hashes > 0, multiline, line, column);
-    String text = multiline ? removeIndent(raw, line, column) : raw;
-    return hashes > 0 ? text : unescape(text, line, column);
+    String terminator = (multiline ? "\"\"\"" : "\"") + "#".repeat(hashCount);
+    String content = readUntil(scanner, terminator, hashCount > 0, multiline, line, column);
+    String text = multiline ? removeIndent(content, line, column) : content;
+    return hashCount > 0 ? text : unescape(text, line, column);
   }
 
+  /** Reads up to and including the terminator; returns the text before it, not unescaped. */
   private static String readUntil(
-      KdlScanner scanner, String terminator, boolean raw, boolean multiline, int line, int column)
+      KdlScanner scanner, String terminator, boolean isRaw, boolean multiline, int line, int column)
       throws KdlException {
     StringBuilder out = new StringBuilder();
     while (!scanner.atEnd() && !scanner.startsWith(terminator)) {
@@ -33,7 +35,7 @@
       }
       int codePoint = scanner.next();
       out.appendCodePoint(codePoint);
-      if (!raw && codePoint == '\\' && !scanner.atEnd()) {
+      if (!isRaw && codePoint == '\\' && !scanner.atEnd()) {
         out.appendCodePoint(scanner.next());
       }
     }
@@ -57,8 +59,8 @@
   }
 
   /** Removes the indent of the last line, which holds the closing quotes, from all lines. */
-  private static String removeIndent(String raw, int line, int column) throws KdlException {
-    List<String> lines = new ArrayList<>(List.of(raw.split("\n", -1)));
+  private static String removeIndent(String content, int line, int column) throws KdlException {
+    List<String> lines = new ArrayList<>(List.of(content.split("\n", -1)));
     if (lines.size() < 2 || !lines.get(0).isBlank()) {
       throw new KdlException(
           line, column, "a multi-line string must begin on the line after its opening quotes");
@@ -69,12 +71,12 @@
           line, column, "the closing quotes of a multi-line string need a line of their own");
     }
     List<String> unindented = new ArrayList<>();
-    for (String content : lines.subList(1, lines.size() - 1)) {
-      if (!content.isBlank() && !content.startsWith(indent)) {
+    for (String contentLine : lines.subList(1, lines.size() - 1)) {
+      if (!contentLine.isBlank() && !contentLine.startsWith(indent)) {
         throw new KdlException(
             line, column, "each line of the string needs the indent of its closing quotes");
       }
-      unindented.add(content.isBlank() ? "" : content.substring(indent.length()));
+      unindented.add(contentLine.isBlank() ? "" : contentLine.substring(indent.length()));
     }
     return String.join("\n", unindented);
   }
--- a/app/src/test/java/coveladder/app/CommandLineTest.java
+++ b/app/src/test/java/coveladder/app/CommandLineTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void simulatedRehearsalSucceedsAndPrintsItsVerdict() {
+  void simulatedRehearsalSucceedsAndPrintsItsResult() {
     assertEquals(0, run("rehearse", "small", "--simulated", "--seed", "3"));
     assertTrue(out.toString().contains("all rules hold"), out.toString());
     assertEquals(0, run("rehearse", "small", "--seeds", "3"));
--- a/app/src/test/java/coveladder/app/SettingsFileTest.java
+++ b/app/src/test/java/coveladder/app/SettingsFileTest.java
@@ -48,7 +48,7 @@
     assertProblems(
         VALID.replace("\"udp\"", "\"udq\""),
         "x.kdl:5:28: unknown transport udq; did you mean udp?");
-    assertProblems(VALID + "domain \"again\"\n", "x.kdl:10:1: node domain stands twice");
+    assertProblems(VALID + "domain \"again\"\n", "x.kdl:10:1: node domain appears more than once");
     assertProblems(
         VALID + "state recover-per-second=0\n",
         "x.kdl:10:1: state lacks folder, a string",
@@ -65,14 +65,14 @@
   }
 
   @Test
-  void changesThatNeedARestartAreNamed() throws SettingsFile.UnusableSettingsException {
+  void changesThatNeedARestartAreListed() throws SettingsFile.UnusableSettingsException {
     Settings before = SettingsFile.read("x.kdl", VALID);
     Settings reloadable = SettingsFile.read("x.kdl", VALID + "calls most=5 patience=70\n");
     assertEquals(List.of(), before.changesNeedingRestart(reloadable));
-    Settings fixed =
+    Settings withFixedChanges =
         SettingsFile.read("x.kdl", VALID.replace("worth=8", "worth=9") + "calls guard=1\n");
-    List<String> named = before.changesNeedingRestart(fixed);
-    assertEquals("class", named.get(0));
-    assertTrue(named.get(1).startsWith("calls attempts, guard"), named.toString());
+    List<String> names = before.changesNeedingRestart(withFixedChanges);
+    assertEquals("class", names.get(0));
+    assertTrue(names.get(1).startsWith("calls attempts, guard"), names.toString());
   }
 }
--- a/app/src/test/java/coveladder/app/StateCommandTest.java
+++ b/app/src/test/java/coveladder/app/StateCommandTest.java
@@ -32,10 +32,10 @@
     CommandLine line = Main.commandLine();
     line.setOut(new PrintWriter(out));
     line.setErr(new PrintWriter(out));
-    String[] all = new String[arguments.length + 1];
-    all[0] = "state";
-    System.arraycopy(arguments, 0, all, 1, arguments.length);
-    return line.execute(all);
+    String[] allArguments = new String[arguments.length + 1];
+    allArguments[0] = "state";
+    System.arraycopy(arguments, 0, allArguments, 1, arguments.length);
+    return line.execute(allArguments);
   }
 
   private static SavedCall saved(String id, Phase phase) {
--- a/app/src/test/java/coveladder/interop/JainInteropTest.java
+++ b/app/src/test/java/coveladder/interop/JainInteropTest.java
@@ -41,10 +41,10 @@
     SocketNode directoryNode = node();
     SocketNode switchNode = node();
     int controllerPort = freePort();
-    FleetConfig plan = FleetConfig.eightExchanges().withSize(2, 1);
+    FleetConfig fleetConfig = FleetConfig.eightExchanges().withSize(2, 1);
     Transport calleeTransport = Transport.fromName(transport);
     Hop calleeAddress = new Hop(calleeTransport, HOST, callee.port());
-    StandinDirectory directory = new StandinDirectory(directoryNode, plan.timing(), 10);
+    StandinDirectory directory = new StandinDirectory(directoryNode, fleetConfig.timing(), 10);
     directory.addEntries(
         List.of(directoryEntry(0, switchNode.port()), directoryEntry(1, callee.port())));
     TrunkNetwork trunks = new TrunkNetwork();
@@ -59,8 +59,8 @@
             Map.of(),
             Map.of(),
             10,
-            plan.processorModel(),
-            plan.timing());
+            fleetConfig.processorModel(),
+            fleetConfig.timing());
     directoryNode.start(directory);
     switchNode.start(new StandinSwitch(switchNode, switchConfig, trunks));
     loop.start();
--- a/app/src/test/java/coveladder/interop/JainPeer.java
+++ b/app/src/test/java/coveladder/interop/JainPeer.java
@@ -157,14 +157,14 @@
   @Override
   public void processResponse(ResponseEvent event) {
     Response response = event.getResponse();
-    CSeqHeader sequence = (CSeqHeader) response.getHeader(CSeqHeader.NAME);
+    CSeqHeader cseq = (CSeqHeader) response.getHeader(CSeqHeader.NAME);
     try {
-      if (response.getStatusCode() == 200 && sequence.getMethod().equals(Request.INVITE)) {
+      if (response.getStatusCode() == 200 && cseq.getMethod().equals(Request.INVITE)) {
         dialog = event.getDialog();
-        dialog.sendAck(dialog.createAck(sequence.getSeqNumber()));
+        dialog.sendAck(dialog.createAck(cseq.getSeqNumber()));
       }
       if (response.getStatusCode() > 100) {
-        events.add(response.getStatusCode() + " " + sequence.getMethod());
+        events.add(response.getStatusCode() + " " + cseq.getMethod());
       }
     } catch (Exception e) {
       events.add("failed " + e);
--- a/app/src/test/java/coveladder/kdl/KdlReaderTest.java
+++ b/app/src/test/java/coveladder/kdl/KdlReaderTest.java
@@ -9,6 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Forms of nodes, values and comments in KDL 2, and the positions of errors. */
 class KdlReaderTest {
 
   private static KdlNode readSingleNode(String text) throws KdlException {
@@ -79,6 +80,10 @@
     assertError(1, 5, "must end on the line", "a \"b\nc\"");
   }
 
+  /**
+   * Expects an error at a position; its column is not checked for "expected a value", which is
+   * reported at the end of the document.
+   */
   private static void assertError(int line, int column, String expectedReason, String text) {
     KdlException e = assertThrows(KdlException.class, () -> KdlReader.read(text));
     assertTrue(e.getMessage().contains(expectedReason), e.getMessage());
--- a/app/src/test/java/coveladder/shape/BoundariesTest.java
+++ b/app/src/test/java/coveladder/shape/BoundariesTest.java
@@ -105,6 +105,7 @@
         .check(PRODUCTION_CLASSES);
   }
 
+  /** SocketNode carries SIP; the other classes of the package serve both front ends. */
   @Test
   void sharedNetworkClassesDoNotDependOnSip() {
     noClasses()
