--- a/app/src/test/java/coveladder/shape/BoundariesTest.java
+++ b/app/src/test/java/coveladder/shape/BoundariesTest.java
@@ -125,7 +125,7 @@
         .that()
         .haveSimpleName("Checker")
         .or()
-        .haveSimpleName("KnownList")
+        .haveSimpleName("ReportedDirectory")
         .or()
         .haveSimpleName("WireMessage")
         .should()
--- a/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Checker.java
@@ -243,7 +243,7 @@
     private final Map<String, ReceivedCall> callsByCallId = new LinkedHashMap<>();
     private final Map<String, ReceivedCall> callsBySessionId = new HashMap<>();
     private final Map<String, Attempt> attemptsByCallId = new HashMap<>();
-    private final KnownList directory = new KnownList();
+    private final ReportedDirectory directory = new ReportedDirectory();
 
     ObservedController(String name) {
       this.name = name;
--- a/rehearsal/src/main/java/coveladder/rehearsal/KnownList.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ReportedDirectory.java
@@ -10,7 +10,7 @@
 /**
  * The exchange directory as a controller knows it, read from the NOTIFY requests that it received.
  */
-final class KnownList {
+final class ReportedDirectory {
   private static final Pattern ENTRY = Pattern.compile("\\{\"id\":[^}]*\\}");
 
   private final Map<String, String> domains = new HashMap<>();
