--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -137,7 +137,7 @@
         .register(meterRegistry);
     Gauge.builder("coveladder.state.unkept", frontEnd, f -> f.writeAhead().unpersistedActions())
         .register(meterRegistry);
-    Gauge.builder("coveladder.state.waiting", store, DiskStore::pendingChanges)
+    Gauge.builder("coveladder.state.waiting", store, DiskStore::queuedRequests)
         .register(meterRegistry);
     Gauge.builder("coveladder.state.commits", store, DiskStore::commitCount)
         .register(meterRegistry);
--- a/app/src/main/java/coveladder/app/StateCommand.java
+++ b/app/src/main/java/coveladder/app/StateCommand.java
@@ -63,7 +63,7 @@
         + " damaged, "
         + contents.sizeBytes()
         + " octets"
-        + (contents.behind() ? "; BEHIND: calls go or went on unkept" : "");
+        + (contents.outOfDate() ? "; BEHIND: calls go or went on unkept" : "");
   }
 
   @Command(
@@ -114,7 +114,7 @@
     StateFolderAdmin.Contents contents = StateFolderAdmin.read(folder);
     contents.damagedRecords().forEach(out()::println);
     out().println(summary(contents));
-    return contents.damagedRecords().isEmpty() && !contents.behind() ? 0 : 1;
+    return contents.damagedRecords().isEmpty() && !contents.outOfDate() ? 0 : 1;
   }
 
   @Command(
--- a/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
@@ -80,8 +80,8 @@
     CallerConnection connection =
         new CallerConnection(this, accepted, limits.maxMessageBytes(), scheduler.now());
     if (connections.size() >= limits.maxCallerConnections()) {
-      CallerConnection idle = leastUsedConnection();
-      (idle == null ? connection : idle).close();
+      CallerConnection leastUsed = leastUsedConnection();
+      (leastUsed == null ? connection : leastUsed).close();
       counters.increment("caller links closed for room");
     }
     if (!connection.closed()) {
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchConnection.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchConnection.java
@@ -23,7 +23,7 @@
   private double lastReceivedAt;
 
   /** Clock at which the last part of an incomplete line arrived, ms; NaN if there is none. */
-  private double partialLineSince = Double.NaN;
+  private double partialLineReceivedAt = Double.NaN;
 
   SwitchConnection(SwitchLink link, int maxLineBytes, double now) {
     this.link = link;
@@ -68,7 +68,7 @@
 
   /** Whether a line is incomplete and nothing arrived for longer than the time-out. */
   boolean hasStalledLine(double now, double timeoutMillis) {
-    return now - partialLineSince > timeoutMillis;
+    return now - partialLineReceivedAt > timeoutMillis;
   }
 
   /** Sends a message; returns false if too many octets are queued. */
@@ -97,7 +97,7 @@
     unresponsive = false;
     try {
       framer.feed(octets, this::onLine);
-      partialLineSince = framer.hasPartialLine() ? arrived : Double.NaN;
+      partialLineReceivedAt = framer.hasPartialLine() ? arrived : Double.NaN;
     } catch (MalformedException e) {
       link.resetUnreadable(this, e.getMessage());
     }
--- a/net/src/main/java/coveladder/net/SocketNode.java
+++ b/net/src/main/java/coveladder/net/SocketNode.java
@@ -168,7 +168,7 @@
     }
     if (stream != null && !stream.send(message)) {
       overflowDisconnects++;
-      abort(stream);
+      resetAndNotify(stream);
     }
   }
 
@@ -196,7 +196,7 @@
     return ((StreamState) stream.attachment()).hop;
   }
 
-  private void abort(Stream stream) {
+  private void resetAndNotify(Stream stream) {
     streams.reset(stream);
     lost(stream, Failure.RESET);
   }
@@ -218,7 +218,7 @@
     for (Stream stream : streams.all()) {
       StreamState state = (StreamState) stream.attachment();
       if (stream.outbound() && stream.isOpen() && state.awaitingPong) {
-        abort(stream);
+        resetAndNotify(stream);
       } else if (stream.outbound() && stream.isOpen()) {
         state.awaitingPong = stream.send(PING);
       }
@@ -230,7 +230,7 @@
 
   /** Resets all stream connections, on the event loop thread. */
   public void resetConnections() {
-    streams.all().forEach(this::abort);
+    streams.all().forEach(this::resetAndNotify);
   }
 
   /** Unbinds the node from the network or binds it to its port again, on the event loop thread. */
--- a/net/src/main/java/coveladder/net/Stream.java
+++ b/net/src/main/java/coveladder/net/Stream.java
@@ -155,7 +155,7 @@
   }
 
   /** Closes the connection with a reset, as a host does that lost its state. */
-  void abort() {
+  void reset() {
     if (connection instanceof NIOConnection nio
         && nio.getChannel() instanceof SocketChannel channel) {
       try {
--- a/net/src/main/java/coveladder/net/Streams.java
+++ b/net/src/main/java/coveladder/net/Streams.java
@@ -158,7 +158,7 @@
   /** Resets a connection without notifying the listener. */
   public void reset(Stream stream) {
     remove(stream);
-    stream.abort();
+    stream.reset();
   }
 
   private void dropIfNotOpen(Stream stream, Loss loss) {
--- a/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
+++ b/sipfront/src/main/java/coveladder/sipfront/ClassTable.java
@@ -21,9 +21,9 @@
    * A prefix of called numbers.
    *
    * @param digits the leading digits
-   * @param type number of the class
+   * @param classNumber number of the class
    */
-  public record Prefix(String digits, int type) {}
+  public record Prefix(String digits, int classNumber) {}
 
   /** Checks the default class and copies the lists. */
   public ClassTable {
@@ -38,19 +38,19 @@
   /** The class number of a call to this number. */
   public int classOf(SipRequest invite, String number) {
     for (String value : invite.headers("Resource-Priority")) {
-      int type = priorities.indexOf(value.trim().toLowerCase(Locale.ROOT));
-      if (type >= 0) {
-        return type;
+      int classNumber = priorities.indexOf(value.trim().toLowerCase(Locale.ROOT));
+      if (classNumber >= 0) {
+        return classNumber;
       }
     }
-    int type = defaultClass;
+    int classNumber = defaultClass;
     int longestMatch = -1;
     for (Prefix prefix : prefixes) {
       if (number.startsWith(prefix.digits()) && prefix.digits().length() > longestMatch) {
-        type = prefix.type();
+        classNumber = prefix.classNumber();
         longestMatch = prefix.digits().length();
       }
     }
-    return type;
+    return classNumber;
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
@@ -9,7 +9,7 @@
  *
  * @param domain the controller's domain, the host part of URIs of its numbers
  * @param localSwitch signalling address of the local switch
- * @param listServer address of the server of the exchange directory
+ * @param directoryServer address of the server of the exchange directory
  * @param classes determines the class of a call
  * @param patienceMillis patience of a caller whose INVITE has no Expires, ms
  * @param answerMarginMillis time reserved for a final answer to reach the caller, ms
@@ -21,7 +21,7 @@
 public record FrontSettings(
     String domain,
     Hop localSwitch,
-    Hop listServer,
+    Hop directoryServer,
     ClassTable classes,
     double patienceMillis,
     double answerMarginMillis,
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -45,7 +45,7 @@
  */
 public final class SipFront implements SipNode, UserAgent.Owner, Signalling {
   /** Event package of the exchange directory. */
-  public static final String LIST_EVENT = "exchange-list";
+  public static final String DIRECTORY_EVENT = "exchange-list";
 
   /** Event package of the local switch's circuit groups. */
   public static final String CIRCUIT_EVENT = "circuit-groups";
@@ -140,7 +140,7 @@
               transactionTimeoutMillis);
     }
     this.directorySubscriber =
-        newSubscriber(LIST_EVENT, settings.listServer(), new DirectoryWatcher());
+        newSubscriber(DIRECTORY_EVENT, settings.directoryServer(), new DirectoryWatcher());
     this.circuitSubscriber =
         newSubscriber(CIRCUIT_EVENT, settings.localSwitch(), new CircuitWatcher());
     stack.userAgent().transactionLayer().offerOverloadControl();
@@ -259,7 +259,7 @@
         new FrontSettings(
             settings.domain(),
             settings.localSwitch(),
-            settings.listServer(),
+            settings.directoryServer(),
             newSettings.classes(),
             newSettings.patienceMillis(),
             newSettings.answerMarginMillis(),
@@ -344,15 +344,15 @@
     Bridge bridge = incomingBridge;
     SipRequest invite = leg.invite();
     SipUri uri = SipUri.parse(invite.uri());
-    int type = settings.classes().classOf(invite, uri.user());
+    int classNumber = settings.classes().classOf(invite, uri.user());
     int cause = ReasonField.of(invite).cause();
     String id = callIdPrefix + lastCallNumber;
     Call call =
         new Call(
             id,
-            type,
+            classNumber,
             remainingPatience(leg),
-            controller.settings().classes().get(type).width(),
+            controller.settings().classes().get(classNumber).width(),
             uri.user(),
             controller.directory().numberOfDomain(uri.host()),
             isFromLocalSwitch(leg),
@@ -596,7 +596,7 @@
           directorySubscriber.subscribe();
         }
       } catch (NotifyBodies.MalformedBodyException e) {
-        lastNotifyError = LIST_EVENT + ": " + e.getMessage();
+        lastNotifyError = DIRECTORY_EVENT + ": " + e.getMessage();
       }
     }
 
--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -18,7 +18,7 @@
    */
   static final int RETENTION_MILLIS = 1_000;
 
-  private static final String OPEN_COUNT_KEY = "lives";
+  private static final String INCARNATION_KEY = "lives";
   private static final int TARGET_FILL_PERCENT = 60;
 
   /** Approximate amount of data moved by one compaction, bytes. */
@@ -36,15 +36,15 @@
   }
 
   /** Increments the number of times that the file was opened and returns the new number. */
-  int incrementOpenCount() {
-    int openCount = metadata.getOrDefault(OPEN_COUNT_KEY, 0) + 1;
-    metadata.put(OPEN_COUNT_KEY, openCount);
-    return openCount;
+  int incrementIncarnation() {
+    int incarnation = metadata.getOrDefault(INCARNATION_KEY, 0) + 1;
+    metadata.put(INCARNATION_KEY, incarnation);
+    return incarnation;
   }
 
   /** Sets the number of times opened, taken over from the file that this one replaces. */
-  void setOpenCount(int openCount) {
-    metadata.put(OPEN_COUNT_KEY, openCount);
+  void setIncarnation(int incarnation) {
+    metadata.put(INCARNATION_KEY, incarnation);
   }
 
   /** Opens or creates a file. */
@@ -102,7 +102,7 @@
   /** Copies all records and the number of times opened to another file, and commits it. */
   void copyTo(CallFile other) {
     calls.forEach(other::put);
-    other.setOpenCount(metadata.getOrDefault(OPEN_COUNT_KEY, 0));
+    other.setIncarnation(metadata.getOrDefault(INCARNATION_KEY, 0));
     other.commit();
   }
 
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -122,13 +122,13 @@
     boolean outOfDate = folder.isOutOfDate();
     this.callFile = openOrReplaceCallFile(damaged);
     List<SavedCall> calls = callFile.readAllAndQuarantine(folder, damaged);
-    int openCount = callFile.incrementOpenCount();
+    int incarnation = callFile.incrementIncarnation();
     callFile.commit();
     if (!outOfDate) {
       folder.markUpToDate();
     }
     this.initialContents =
-        new Contents(List.copyOf(calls), List.copyOf(damaged), outOfDate, openCount);
+        new Contents(List.copyOf(calls), List.copyOf(damaged), outOfDate, incarnation);
     writer.setDaemon(true);
     writer.start();
   }
@@ -317,7 +317,7 @@
     try {
       Files.deleteIfExists(folder.newCallFile());
       callFile = openCallFile(folder.newCallFile());
-      callFile.setOpenCount(initialContents.incarnation());
+      callFile.setIncarnation(initialContents.incarnation());
       rewriting = true;
       rewriteAttempts++;
       int attempt = rewriteAttempts;
@@ -378,7 +378,7 @@
   }
 
   /** Returns the number of requests that wait for the writer thread. */
-  public int pendingChanges() {
+  public int queuedRequests() {
     return queue.size();
   }
 
--- a/store/src/main/java/coveladder/store/StateFolderAdmin.java
+++ b/store/src/main/java/coveladder/store/StateFolderAdmin.java
@@ -25,12 +25,12 @@
    *
    * @param calls the calls that could be read
    * @param damagedRecords the records that could not be read, each as its call id and the reason
-   * @param behind whether the folder is out of date: calls continue, or continued, without being
+   * @param outOfDate whether the folder is out of date: calls continue, or continued, without being
    *     stored
    * @param sizeBytes size of the call file
    */
   public record Contents(
-      List<SavedCall> calls, List<String> damagedRecords, boolean behind, long sizeBytes) {}
+      List<SavedCall> calls, List<String> damagedRecords, boolean outOfDate, long sizeBytes) {}
 
   /** Reads a folder, whether or not it is in use. */
   public static Contents read(Path path) throws IOException, DiskStore.UnusableFolderException {
