--- a/isup/src/main/java/coveladder/isup/CallerFramer.java
+++ b/isup/src/main/java/coveladder/isup/CallerFramer.java
@@ -18,7 +18,7 @@
   /**
    * Creates a framer.
    *
-   * @param maxMessageBytes greatest size of a message, its length field included, octets
+   * @param maxMessageBytes maximum size of a message, its length field included, octets
    */
   public CallerFramer(int maxMessageBytes) {
     this.maxMessageBytes = maxMessageBytes;
--- a/isup/src/main/java/coveladder/isup/JournalLine.java
+++ b/isup/src/main/java/coveladder/isup/JournalLine.java
@@ -8,7 +8,8 @@
 /**
  * A line of the journal service: an event, or only the position of the last event.
  *
- * @param position position of the event in the journal, or of the last event
+ * @param position position of this event in the journal; if the line is no event, that of the last
+ *     event
  * @param event whether the line is an event
  * @param snapshot whether the event lists all switches, not only the changed ones
  * @param entries all switches, or the changed ones
--- a/isup/src/main/java/coveladder/isup/LineFramer.java
+++ b/isup/src/main/java/coveladder/isup/LineFramer.java
@@ -15,7 +15,7 @@
   /**
    * Creates a framer.
    *
-   * @param maxLineBytes greatest length of a line, octets
+   * @param maxLineBytes maximum length of a line, octets
    */
   public LineFramer(int maxLineBytes) {
     this.maxLineBytes = maxLineBytes;
--- a/isup/src/main/java/coveladder/isup/SwitchMessage.java
+++ b/isup/src/main/java/coveladder/isup/SwitchMessage.java
@@ -30,7 +30,7 @@
     PROBE,
     /** Result of a test: code 1 for passed, 0 for failed. */
     PROBED,
-    /** State of a circuit group. */
+    /** Load report, which includes the state of a circuit group. */
     STATUS
   }
 
--- a/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
+++ b/isupfront/src/main/java/coveladder/isupfront/CallerRequests.java
@@ -217,9 +217,9 @@
   }
 
   /**
-   * Refuses a set-up whose id is in use. On the connection of the pending first set-up the caller
-   * cannot tell the two apart, so that one is abandoned as well and one release answers both. On
-   * another connection only the second is refused.
+   * Refuses a set-up whose id is in use. If the first set-up is pending on the same connection, the
+   * caller cannot tell the two apart: the first is abandoned as well, and one release answers both.
+   * Otherwise only the second is refused.
    */
   private void refuseDuplicate(CallerConnection connection, String id) {
     counters.increment("set-ups under an id that is held");
--- a/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
+++ b/isupfront/src/main/java/coveladder/isupfront/JournalFollower.java
@@ -155,8 +155,9 @@
   }
 
   /**
-   * Applies an event to the exchange directory. A line that only carries a position ahead of the
-   * last event, or an event out of sequence, shows a skipped event and leads to a new subscription.
+   * Applies an event to the exchange directory. If the event is out of sequence, or if the line
+   * only carries a position ahead of the last applied event, an event was skipped: it subscribes
+   * again.
    */
   private void apply(JournalLine line) {
     if (line.position() <= position) {
--- a/isupfront/src/main/java/coveladder/isupfront/Limits.java
+++ b/isupfront/src/main/java/coveladder/isupfront/Limits.java
@@ -9,7 +9,8 @@
  * @param maxTrackedCalls number of pending and established calls at which no further call is
  *     resumed
  * @param callerSilenceMillis time without a complete message after which a caller connection is
- *     closed if it is within a message or was never used for a test or an established call, ms
+ *     closed, ms; applies if part of a message has arrived, or if the connection has no pending
+ *     call and never brought a test or an established call
  * @param maxUnusableMessages number of set-ups that are unusable or have the id of another call,
  *     after which a caller connection is closed
  * @param maxConnectionsPerSwitch maximum number of connections to one switch
--- a/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
+++ b/isupfront/src/main/java/coveladder/isupfront/SwitchLink.java
@@ -129,7 +129,7 @@
     return entry.address();
   }
 
-  /** Whether the switch has reported the state of its circuit group. */
+  /** Whether the switch has reported its load, and with it the state of its circuit group. */
   boolean stateKnown() {
     return stateKnown;
   }
--- a/net/src/main/java/coveladder/net/Stream.java
+++ b/net/src/main/java/coveladder/net/Stream.java
@@ -148,6 +148,7 @@
     }
   }
 
+  /** Closes the connection at once, if it is established. */
   void close() {
     if (connection != null) {
       connection.terminateSilently();
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -78,7 +78,7 @@
   // ---- Attempts -----------------------------------------------------------------------------
 
   /** Prepares an attempt without sending it. */
-  void prepare(AttemptRequest request, SipRequest invite) {
+  void prepareAttempt(AttemptRequest request, SipRequest invite) {
     currentAttempt = request.attempt();
     calleeAnswer = null;
     inviteSent = false;
@@ -269,7 +269,7 @@
   }
 
   /** Prepares the caller's final answer without sending it. */
-  SipResponse prepare(FinalAnswer finalAnswer) {
+  SipResponse prepareAnswer(FinalAnswer finalAnswer) {
     if (preparedAnswer == null) {
       switch (finalAnswer.kind()) {
         case STANDS, PASSED -> {
@@ -303,7 +303,7 @@
    * that had already received its ACK would ignore the CANCEL and keep the call.
    */
   void answer(FinalAnswer finalAnswer) {
-    SipResponse response = prepare(finalAnswer);
+    SipResponse response = prepareAnswer(finalAnswer);
     preparedAnswer = null;
     if (finalAnswer.kind() == FinalAnswer.Kind.STANDS) {
       if (!awaitsCallerAck) {
--- a/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
+++ b/sipfront/src/main/java/coveladder/sipfront/NotifyBodies.java
@@ -67,8 +67,8 @@
 
   private static ExchangeDirectory.Entry parseEntry(JsonNode node, String path, double nowMillis)
       throws MalformedBodyException {
-    // Without an age, the exchange started long ago, which a start time of 0 stands for; the start
-    // time of any other exchange is therefore at least 1 ms.
+    // An exchange without an age started long ago and gets the start time 0. That of any other
+    // exchange is therefore at least 1 ms.
     double ageMillis = node.path("age").isNumber() ? node.path("age").asDouble() : -1;
     return new ExchangeDirectory.Entry(
         requireField(node, path, "id").asText(),
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -110,7 +110,7 @@
 
   @Override
   public byte[] encodeFinalAnswer(String call, FinalAnswer answer) {
-    return front.bridge(call).prepare(answer).toBytes();
+    return front.bridge(call).prepareAnswer(answer).toBytes();
   }
 
   @Override
@@ -121,7 +121,7 @@
 
   @Override
   public void prepareSuccess(String call) {
-    front.bridge(call).prepare(FinalAnswer.ESTABLISHED);
+    front.bridge(call).prepareAnswer(FinalAnswer.ESTABLISHED);
   }
 
   // ---- After a restart ----------------------------------------------------------------------
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFront.java
@@ -151,7 +151,7 @@
    *
    * @param store the persistent store of calls
    * @param recoveryBudget limits of the traffic that recovery sends
-   * @param wallClock a clock that continues across restarts, ms
+   * @param wallClock a clock that continues across restarts, ms; deadlines are stored by it
    */
   public record Persistence(
       CallStore store, RecoveryRate.Budget recoveryBudget, LongSupplier wallClock) {}
@@ -177,14 +177,17 @@
     bridges.put(call, bridge);
   }
 
-  /** A dialog of an established call has changed: its record is updated. */
+  /** Updates the record of an established call, one of whose dialogs has changed. */
   void callChanged(String call) {
     if (writeAhead != null && bridges.containsKey(call)) {
       writeAhead.callChanged(call);
     }
   }
 
-  /** A BYE of a call was answered, or will not be; after the last one the release is complete. */
+  /**
+   * Completes the release of a call, unless another BYE of it is unanswered. Called once a BYE was
+   * answered or is known to get no answer.
+   */
   void releaseCompleted(String call, Bridge bridge) {
     if (writeAhead != null && !bridge.isReleasing()) {
       writeAhead.releaseCompleted(call);
@@ -192,8 +195,8 @@
   }
 
   /**
-   * A caller cancelled. Its answer is sent once the cancellation is stored, or at once if calls are
-   * not stored.
+   * Handles a caller's CANCEL: its answer is sent once the cancellation is stored, or at once if
+   * calls are not stored.
    */
   void callerCancelled(String call, Runnable sendAnswer) {
     if (writeAhead == null) {
@@ -412,7 +415,7 @@
   /** Prepares an attempt without sending it. */
   Bridge prepareAttempt(AttemptRequest request) {
     Bridge bridge = bridge(request.call());
-    bridge.prepare(request, attemptInvite(request, bridge.callerLeg().invite()));
+    bridge.prepareAttempt(request, attemptInvite(request, bridge.callerLeg().invite()));
     return bridge;
   }
 
--- a/standin/src/main/java/coveladder/standin/StandinSwitch.java
+++ b/standin/src/main/java/coveladder/standin/StandinSwitch.java
@@ -64,7 +64,10 @@
   private SwitchCall acceptedCall;
   private Hop acceptedCallNextHop;
   private double loadUpdatedAtMillis = Double.NEGATIVE_INFINITY;
+
+  /** Share of set-ups that the senders are asked to hold back, 0 to 1. */
   private double requestedReduction;
+
   private long receivedSetups;
 
   /** Creates a switch; its circuit groups are those of its exchange in {@code trunks}. */
--- a/store/src/main/java/coveladder/store/CallFile.java
+++ b/store/src/main/java/coveladder/store/CallFile.java
@@ -35,14 +35,14 @@
     store.setRetentionTime(retentionMillis);
   }
 
-  /** Increments the number of times that the file was opened and returns the new number. */
+  /** Increments the incarnation, the number of times that the file was opened, and returns it. */
   int incrementIncarnation() {
     int incarnation = metadata.getOrDefault(INCARNATION_KEY, 0) + 1;
     metadata.put(INCARNATION_KEY, incarnation);
     return incarnation;
   }
 
-  /** Sets the number of times opened, taken over from the file that this one replaces. */
+  /** Sets the incarnation to that of the file that this one replaces. */
   void setIncarnation(int incarnation) {
     metadata.put(INCARNATION_KEY, incarnation);
   }
@@ -99,7 +99,7 @@
     commit();
   }
 
-  /** Copies all records and the number of times opened to another file, and commits it. */
+  /** Copies all records and the incarnation to another file, and commits it. */
   void copyTo(CallFile other) {
     calls.forEach(other::put);
     other.setIncarnation(metadata.getOrDefault(INCARNATION_KEY, 0));
--- a/store/src/main/java/coveladder/store/DiskStore.java
+++ b/store/src/main/java/coveladder/store/DiskStore.java
@@ -68,9 +68,9 @@
    * @param id id of the call that is stored or removed; null: not a change
    * @param call the call to store; null: the call is removed, or this is not a change
    * @param onSynced told whether all earlier changes are on disk; null: nobody waits
-   * @param rewriteAttempt number of the attempt with a new file for which all calls have now been
-   *     queued again; 0: this is not a marker; {@link #MARK_UP_TO_DATE}: the state found at the
-   *     opening has been brought up to date
+   * @param rewriteAttempt 0: this is not a marker; above 0: marks that all calls have been queued
+   *     again for the new file of the attempt with this number; {@link #MARK_UP_TO_DATE}: marks
+   *     that the state found at the opening has been brought up to date
    */
   private record WriteRequest(
       String id, SavedCall call, Consumer<Boolean> onSynced, int rewriteAttempt) {}
