--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -24,7 +24,7 @@
  * @param exchangeNumber number of the local exchange
  * @param controllerCount number of controllers in the network
  * @param localSwitch signalling address of the local switch
- * @param listServer address of the server of the exchange directory
+ * @param directoryServer address of the server of the exchange directory
  * @param classes the call classes
  * @param calls settings of calls and attempts
  * @param coldStart settings of processors that have just started
@@ -42,7 +42,7 @@
     int exchangeNumber,
     int controllerCount,
     Hop localSwitch,
-    Hop listServer,
+    Hop directoryServer,
     List<ClassSettings> classes,
     CallSettings calls,
     ColdStartSettings coldStart,
@@ -158,7 +158,7 @@
     return new FrontSettings(
         domain,
         localSwitch,
-        listServer,
+        directoryServer,
         classTable(),
         calls.patienceMillis(),
         calls.answerMarginMillis(),
@@ -222,7 +222,7 @@
     addIfChanged(names, "exchange", exchangeNumber, other.exchangeNumber);
     addIfChanged(names, "fleet", controllerCount, other.controllerCount);
     addIfChanged(names, "switch", localSwitch, other.localSwitch);
-    addIfChanged(names, "list", listServer, other.listServer);
+    addIfChanged(names, "list", directoryServer, other.directoryServer);
     addIfChanged(names, "class", policyClasses(), other.policyClasses());
     addIfChanged(names, "cold", coldStart, other.coldStart);
     addIfChanged(names, "timers", timing, other.timing);
--- a/app/src/test/java/coveladder/app/SettingsFileTest.java
+++ b/app/src/test/java/coveladder/app/SettingsFileTest.java
@@ -28,7 +28,7 @@
     Settings settings = SettingsFile.read("x.kdl", VALID);
     assertEquals("127.0.0.1", settings.listenAddress().host());
     assertEquals(Transport.UDP, settings.localSwitch().transport());
-    assertEquals(Transport.TCP, settings.listServer().transport());
+    assertEquals(Transport.TCP, settings.directoryServer().transport());
     assertEquals(300, settings.policySettings().guardTime());
     assertEquals(8, settings.policySettings().classes().get(1).worth());
     assertEquals(List.of("", "cove.2"), settings.frontSettings().classes().priorities());
--- a/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
+++ b/isupfront/src/main/java/coveladder/isupfront/IsupFrontEnd.java
@@ -36,8 +36,9 @@
   private static final double RELEASE_PERIOD_MILLIS = 100;
 
   /**
-   * Time for which the process continues after it closed its connections. A set-up that arrives up
-   * to 50 ms after the close of its connection is sent again by its caller, to another controller.
+   * Time for which the process continues after it closed its connections. A set-up that crosses the
+   * close of its connection, arriving 50 ms after it, is sent again by its caller, to another
+   * controller.
    */
   private static final double CLOSE_CROSSING_MILLIS = 100;
 
