--- a/core/src/main/java/coveladder/core/AttemptGuard.java
+++ b/core/src/main/java/coveladder/core/AttemptGuard.java
@@ -24,7 +24,12 @@
     this.drainGraceMillis = drainGraceMillis;
   }
 
-  /** Whether a set-up of the call may be sent now; counts it as suppressed if not. */
+  /**
+   * Whether a set-up of the call may be sent now; counts it as suppressed if not.
+   *
+   * @param closedSince clock at which the next exchange was reported as closed, ms; infinite if it
+   *     is in service
+   */
   public boolean permits(TrackedCall call, double closedSince, double now) {
     boolean permitted =
         !call.isAnswered()
--- a/core/src/main/java/coveladder/core/ExchangeDirectory.java
+++ b/core/src/main/java/coveladder/core/ExchangeDirectory.java
@@ -78,7 +78,10 @@
     return UpdateResult.APPLIED;
   }
 
-  /** Records an exchange that a complete update does not list as closed from now on. */
+  /**
+   * Marks an exchange as closed from now on if a complete update does not list it; returns whether
+   * it is missing there.
+   */
   private boolean markClosedIfMissing(String id, Update update, double now) {
     boolean missing = update.entries().stream().noneMatch(entry -> entry.id().equals(id));
     if (missing) {
--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -81,7 +81,7 @@
    * Restores the caller's leg of an interrupted set-up without sending anything, so that a
    * retransmission of its INVITE starts no second call.
    *
-   * @param whenCancelled called on its CANCEL, with the task that sends the answer
+   * @param whenCancelled called on its CANCEL, with the task that sends the answer to it
    * @param whenRetransmitted called when its INVITE arrives again, which shows that the caller
    *     waits
    */
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -15,8 +15,8 @@
 /**
  * Continues after a restart with the contents of the store. Established calls are restored at once,
  * which sends nothing, and verified later. Interrupted set-ups are cancelled and their callers
- * answered; final answers that may not have arrived are sent again. Whatever sends is limited to
- * the recovery rate.
+ * answered; final answers that may not have arrived are sent again. All sending is limited to the
+ * recovery rate.
  */
 public final class Recovery {
   private static final int MAX_REQUESTS_PER_END = 3;
@@ -47,7 +47,9 @@
   /** A call interrupted by the restart, whose caller waits for its final answer or may do so. */
   private static final class InterruptedCall {
     private SavedCall saved;
-    private boolean answerInProgress;
+
+    /** Whether this run gave the final answer; it is sent already or about to be sent. */
+    private boolean answerStarted;
 
     InterruptedCall(SavedCall saved) {
       this.saved = saved;
@@ -132,11 +134,12 @@
   }
 
   /**
-   * The caller cancels. One that has a final answer gets that answer again; one that is about to
-   * get it, or has cancelled before, gets no other.
+   * Handles a CANCEL from the caller. A final answer stored before the restart is sent again; one
+   * given by this run is not, as it is sent anyway. A caller without a final answer gets the answer
+   * to its CANCEL, unless it has cancelled before.
    */
   private void callerCancelled(InterruptedCall interrupted, Runnable sendAnswer) {
-    if (interrupted.saved.hasAnswer() && !interrupted.answerInProgress) {
+    if (interrupted.saved.hasAnswer() && !interrupted.answerStarted) {
       legs.resendFinalAnswer(interrupted.saved);
     } else if (!interrupted.saved.hasAnswer() && !interrupted.saved.isCancelled()) {
       interrupted.saved = interrupted.saved.asCancelled();
@@ -212,7 +215,7 @@
   private void refuseInterrupted(InterruptedCall interrupted) {
     answeredCallers++;
     FinalAnswer answer = new FinalAnswer(FinalAnswer.Kind.SHUT_DOWN, 0, Reason.NONE);
-    interrupted.answerInProgress = true;
+    interrupted.answerStarted = true;
     interrupted.saved =
         interrupted.saved.withAnswer(legs.encodeInterruptedAnswer(interrupted.saved, answer));
     persistThen(interrupted.saved, () -> legs.resendFinalAnswer(interrupted.saved));
@@ -252,8 +255,8 @@
   // ---- Established calls ----------------------------------------------------------------------
 
   /**
-   * Verifies one end of the next established call: it may have left while the controller was down.
-   * As a call has two ends, the interval is half of that between calls; it is doubled while
+   * Verifies one end of the next established call: that end may have left while the controller was
+   * down. As a call has two ends, the interval is half of that between calls; it is doubled while
    * interrupted calls remain, which have priority.
    */
   private void verifyNext() {
--- a/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
+++ b/core/src/main/java/coveladder/core/recovery/RecoveryRate.java
@@ -18,7 +18,11 @@
   private final Budget budget;
   private final double coldShare;
   private final double rampTimeMillis;
+
+  /** Share of the budget that was available at {@code changedAt}; it grows back from then on. */
   private double budgetShare = 1;
+
+  /** Clock of the last rejection, ms; 0 before the first. */
   private double changedAt;
 
   /**
--- a/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -34,8 +34,14 @@
   /** The stored record of a call, and which of its changes still wait for the disk. */
   private static final class Entry {
     private SavedCall saved;
+
+    /** Number of the attempt that waits for the disk; -1 if there is none. */
     private int unsyncedAttempt = -1;
+
+    /** Whether that attempt was cancelled while it waited. */
     private boolean attemptCancelled;
+
+    /** Whether the controller no longer tracks the call. */
     private boolean callRemoved;
 
     Entry(SavedCall saved) {
--- a/policy/src/main/java/coveladder/CallPolicy.java
+++ b/policy/src/main/java/coveladder/CallPolicy.java
@@ -37,7 +37,11 @@
   /** A timer started through {@link Actions#startTimer} expired. */
   void onTimer(double now, long label);
 
-  /** A message from another controller arrived. */
+  /**
+   * A message from another controller arrived.
+   *
+   * @param from number of the controller that sent it
+   */
   void onPeerMessage(double now, int from, byte[] payload);
 
   /** The actions that a policy may request from its controller. */
--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -60,7 +60,10 @@
    */
   private static final double CLASS_MIX_RETENTION = 0.97;
 
-  /** Circuits that alternative calls always leave free in a group, per square root of its size. */
+  /**
+   * Circuits that alternative calls, those sent through a tandem, always leave free in a group, per
+   * square root of its size.
+   */
   private static final double RESERVE_PER_ROOT_OF_SIZE = 0.3;
 
   /**
@@ -135,14 +138,14 @@
   private static final double LIMIT_REDUCTION_FACTOR = 0.7;
 
   /** Weight of a new answer time in the exponentially smoothed answer times. */
-  private static final double DELAY_SMOOTHING_WEIGHT = 0.3;
+  private static final double ANSWER_TIME_SMOOTHING_WEIGHT = 0.3;
 
   /** Shortest time to its aim at which sending a call is still worthwhile, ms. */
   private static final double MIN_TIME_TO_AIM_MILLIS = 50;
 
   /**
-   * Share of its aim that suffices for a call to be the trial call of an exchange, however slowly
-   * the exchange answered so far.
+   * Share of its aim that a call must have left to be the trial call of an exchange, that is, the
+   * only one outstanding toward it; this suffices however slowly the exchange has answered so far.
    */
   private static final double TRIAL_AIM_SHARE = 0.7;
 
@@ -348,10 +351,10 @@
     }
     TrackedCall tracked = new TrackedCall(call, settings.classes().get(call.type()), sequence++);
     calls.put(call.id(), tracked);
-    tracked.answerDeadline =
+    tracked.finalAnswerDeadline =
         now + Math.max(0, call.patience() - FINAL_ANSWER_CLOCK_STEPS * settings.clockResolution());
-    tracked.aimDeadline = Math.min(tracked.answerDeadline, now + timeToAim(tracked));
-    startCallTimer(tracked, tracked.answerDeadline - now);
+    tracked.aimDeadline = Math.min(tracked.finalAnswerDeadline, now + timeToAim(tracked));
+    startCallTimer(tracked, tracked.finalAnswerDeadline - now);
     recordArrival(now, call);
     if (isCongested(now, call.number())) {
       refuse(tracked);
@@ -369,6 +372,7 @@
         && call.currentAttempt.number == established.attempt()) {
       call.established = true;
       call.currentAttempt.destination.workingTandems.add(call.currentAttempt.firstHop);
+      // Adds 1 for an attempt through a tandem, 0 for a direct one.
       tandemAnswers[call.request.type()] += call.currentAttempt.exchanges.size() - 1;
       if (call.overflowed) {
         remoteExchange(call.request.destination()).carriedOverflowCalls++;
@@ -438,7 +442,7 @@
   /**
    * Updates the clock and detects a stall: events that are more than two heartbeats apart. Answers
    * that lay unread during the stall must not count as slow, and calls must not wait for an aim
-   * that passed during it, whatever stalled the controller. An exchange that really answered slowly
+   * that passed during the stall, whatever its cause. An exchange that really answered slowly
    * during a stall is taken for a prompt one.
    */
   private void updateClock(double now) {
@@ -451,8 +455,8 @@
   /**
    * Returns the time to the aim of a new call. The time that the call lay unread in a stall is
    * deducted: the difference between its patience and the longest patience seen in its class, at
-   * most the length of the stall. A call that can no longer reach its aim is classed as late, as
-   * redials are.
+   * most the length of the stall. A call that can no longer reach its aim is marked as late, as
+   * redials are, and like them gets its whole aim.
    */
   private double timeToAim(TrackedCall call) {
     double aim = call.callClass.aim();
@@ -465,12 +469,12 @@
     call.late =
         timeLeft
             < Math.max(
-                MIN_TIME_TO_AIM_MILLIS, remoteExchange(call.request.destination()).answerDelay);
+                MIN_TIME_TO_AIM_MILLIS, remoteExchange(call.request.destination()).answerTime);
     return call.late ? aim : timeLeft;
   }
 
   private void onCallTimer(double now, TrackedCall call) {
-    if (now >= call.answerDeadline) {
+    if (now >= call.finalAnswerDeadline) {
       if (call.currentAttempt != null && settings.mayCancel()) {
         actions.cancel(call.request.id(), call.currentAttempt.number);
       }
@@ -513,6 +517,7 @@
       }
     } else {
       destination.recordOffered(call, true);
+      // If no threshold restricts the call, only the lack of free circuits blocks it.
       if (destination.threshold(call) >= destination.groupSize) {
         destination.overflowedCalls += call.overflowed ? 0 : 1;
         call.overflowed = true;
@@ -592,7 +597,7 @@
         && tandem.hasCircuitGroup()
         && tandem.leavesReserve(call)
         && tandem.outstandingLimit >= 2
-        && tandem.answerDelay + destination.answerDelay < slowAnswerTime
+        && tandem.answerTime + destination.answerTime < slowAnswerTime
         && (tandem.outstanding.isEmpty()
             || now - tandem.outstanding.iterator().next().sentAt < slowAnswerTime)
         && tandem.crankbackUntil.getOrDefault(destination.number, 0.0) <= now
@@ -715,7 +720,7 @@
         && now >= call.guardUntil
         && localProcessorAccepts(now, call)
         && call.attemptsSent < settings.maxAttempts()
-        && call.mayRepeatAt(now, firstHop)
+        && call.mayRepeatTo(now, firstHop)
         && firstHop.number != settings.localExchange()
         && firstHop.currentEntry != null
         && destination.currentEntry != null
@@ -808,7 +813,7 @@
     return call.aimDeadline - Math.max(now, pausedUntil(call))
             <= Math.max(MIN_TIME_TO_AIM_MILLIS, neededTime)
         || call.attemptsSent >= settings.maxAttempts()
-        || !call.mayRepeatAt(now, null)
+        || !call.mayRepeatTo(now, null)
         || !usesPools && destination.currentEntry == null
         || !hasDirectGroup && call.tandemsTried >= MAX_TANDEM_ATTEMPTS;
   }
@@ -837,14 +842,14 @@
       return;
     }
     Outcome outcome = ended.outcome();
-    boolean uncertain =
+    boolean needsGuardTime =
         outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.CANCELLED;
-    call.guardUntil = uncertain ? now + settings.guardTime() : call.guardUntil;
+    call.guardUntil = needsGuardTime ? now + settings.guardTime() : call.guardUntil;
     call.uncertainAttempt =
-        call.uncertainAttempt == null && (uncertain || outcome == Outcome.ERROR)
+        call.uncertainAttempt == null && (needsGuardTime || outcome == Outcome.ERROR)
             ? attempt
             : call.uncertainAttempt;
-    retryOrAnswer(now, call, ended);
+    retryOrGiveFinalAnswer(now, call, ended);
   }
 
   /**
@@ -858,7 +863,7 @@
       return;
     }
     outstandingAttempts--;
-    meanAnswerTime += DELAY_SMOOTHING_WEIGHT * (elapsed - meanAnswerTime);
+    meanAnswerTime += ANSWER_TIME_SMOOTHING_WEIGHT * (elapsed - meanAnswerTime);
     updateTotalLimit(now, elapsed, attempt.firstHop, elapsed <= slowAnswerTime);
     attempt.recordAnswer(now, elapsed, answeredBy);
   }
@@ -939,13 +944,13 @@
     }
   }
 
-  private void retryOrAnswer(double now, TrackedCall call, AttemptEnded ended) {
+  private void retryOrGiveFinalAnswer(double now, TrackedCall call, AttemptEnded ended) {
     if (ended.reason() == Reason.NUMBER_BUSY) {
       congestedNumbers.put(call.request.number(), now + CONGESTED_NUMBER_PAUSE_MILLIS);
       refuse(call);
     } else if (call.request.transit()
         || now >= call.aimDeadline - MIN_TIME_TO_AIM_MILLIS
-        || !call.mayRepeatAt(now, null)) {
+        || !call.mayRepeatTo(now, null)) {
       fail(call);
     } else {
       route(now, call);
@@ -971,7 +976,7 @@
     double congestedUntil = congestedNumbers.getOrDefault(call.request.number(), 0.0);
     double wait =
         Math.max(0, Math.max(pausedUntil(call), congestedUntil) - lastEventAt)
-            + remoteExchange(call.request.destination()).answerDelay;
+            + remoteExchange(call.request.destination()).answerTime;
     return Math.min(settings.maxRetryAfter(), wait);
   }
 
@@ -1059,6 +1064,7 @@
     /** Circuits seized by direct calls of this controller. */
     int localBusyCircuits;
 
+    /** Thresholds by class: of calls that are not late, then of late calls; null: no limits. */
     int[] thresholds;
 
     /** Decaying number of direct calls offered. */
@@ -1079,7 +1085,7 @@
     double outstandingLimit = INITIAL_OUTSTANDING_LIMIT;
 
     /** Smoothed answer time. */
-    double answerDelay;
+    double answerTime;
 
     /** Time of the last reduction of {@code outstandingLimit}. */
     double limitReducedAt;
@@ -1090,8 +1096,8 @@
     double trialInterval;
 
     /**
-     * Random share of the extended cold-start window that passes before the first set-up, if this
-     * controller may send less than one set-up per window; otherwise all controllers could send
+     * Random share of the extended cold-start window that passes before the first set-up if this
+     * controller may send less than one set-up per window. Without it, all controllers could send
      * together.
      */
     final double coldStartPhase = random.nextDouble();
@@ -1139,11 +1145,11 @@
       return Double.isNaN(groupSize) || freeCircuits - call.request.width() >= reserve;
     }
 
-    void recordOffered(TrackedCall call, boolean refused) {
+    void recordOffered(TrackedCall call, boolean blocked) {
       if (!call.countedAsOffered) {
         call.countedAsOffered = true;
         directCalls++;
-        blockedCalls += refused ? 1 : 0;
+        blockedCalls += blocked ? 1 : 0;
       }
     }
 
@@ -1159,7 +1165,8 @@
 
     /**
      * Computes the thresholds from the local arrivals of each class and the arrivals of the other
-     * users of the group, which are estimated from its busy circuits.
+     * users of the group, which are estimated from its busy circuits. Late calls, the second half
+     * of the arrays, count with a cost but no arrivals.
      */
     private int[] computeThresholds(double countedMillis) {
       double mixTotal = Arrays.stream(classMix).sum();
@@ -1193,16 +1200,17 @@
     }
 
     /**
-     * Returns the cost of blocking a call: the lowest worth of all classes, plus the excess of its
-     * worth over that, multiplied by the share of overflowed calls that no tandem carried.
+     * Returns the cost of blocking a call: the lowest worth of all classes, plus a share of the
+     * excess of the call's worth over it, namely the share of overflowed calls that no tandem
+     * carried.
      */
     private double blockingCost(double worth) {
-      double rescuedShare =
+      double carriedShare =
           Math.min(
               1,
               (carriedOverflowCalls + PRIOR_SUCCESSFUL_CALLS)
                   / (overflowedCalls + PRIOR_SUCCESSFUL_CALLS));
-      return minWorth + (worth - minWorth) * (1 - rescuedShare);
+      return minWorth + (worth - minWorth) * (1 - carriedShare);
     }
 
     /**
@@ -1217,7 +1225,7 @@
           && timeLeft
               >= (outstanding.isEmpty()
                   ? minTimeForTrial(call)
-                  : Math.max(answerDelay, MIN_TIME_TO_AIM_MILLIS))
+                  : Math.max(answerTime, MIN_TIME_TO_AIM_MILLIS))
           && outstanding.size() < (int) outstandingLimit;
     }
 
@@ -1226,11 +1234,11 @@
      * outstanding set-up.
      */
     double minTimeForTrial(TrackedCall call) {
-      return Math.min(answerDelay, TRIAL_AIM_SHARE * call.callClass.aim());
+      return Math.min(answerTime, TRIAL_AIM_SHARE * call.callClass.aim());
     }
 
     void recordAnswer(double now, double elapsed) {
-      answerDelay += DELAY_SMOOTHING_WEIGHT * (elapsed - answerDelay);
+      answerTime += ANSWER_TIME_SMOOTHING_WEIGHT * (elapsed - answerTime);
       if (elapsed <= slowAnswerTime) {
         trialInterval = trialInterval > slowAnswerTime ? trialInterval / 2 : 0;
         outstandingLimit = Math.min(MAX_OUTSTANDING_LIMIT, outstandingLimit + 1 / outstandingLimit);
@@ -1241,7 +1249,7 @@
 
     void recordTimeout(double now, double elapsed) {
       if (elapsed >= slowAnswerTime) {
-        answerDelay += DELAY_SMOOTHING_WEIGHT * (elapsed - answerDelay);
+        answerTime += ANSWER_TIME_SMOOTHING_WEIGHT * (elapsed - answerTime);
         reduceLimit(now, elapsed, 0);
       }
     }
@@ -1262,8 +1270,12 @@
       }
     }
 
-    /** Pauses for a random time up to the trial interval, at least for the requested wait. */
-    private void pause(double now, double firstInterval, double requestedWait) {
+    /**
+     * Pauses for a random time up to the trial interval, at least for the requested wait. Unless a
+     * pause is in force, the trial interval is doubled first, and raised to {@code minInterval} if
+     * it is below that.
+     */
+    private void pause(double now, double minInterval, double requestedWait) {
       double maxInterval =
           Math.min(
               MAX_TRIAL_INTERVAL_MILLIS,
@@ -1271,7 +1283,7 @@
       trialInterval =
           now < pausedUntil
               ? trialInterval
-              : Math.min(maxInterval, Math.max(firstInterval, 2 * trialInterval));
+              : Math.min(maxInterval, Math.max(minInterval, 2 * trialInterval));
       pausedUntil =
           Math.max(pausedUntil, now + Math.max(requestedWait, trialInterval * random.nextDouble()));
     }
@@ -1279,7 +1291,7 @@
     /**
      * Records that the processor is overloaded. The trial interval is the time of a slow answer at
      * first, at most half the shortest aim; then it follows the intervals between the local calls
-     * to the exchange, as many controllers may be sending.
+     * to the exchange, because many controllers may be sending.
      */
     void recordOverload(double now, double requestedWait) {
       outstandingLimit = 1;
@@ -1320,7 +1332,7 @@
     final Call request;
     final CallClass callClass;
     final long arrivalOrder;
-    double answerDeadline;
+    double finalAnswerDeadline;
     double aimDeadline;
     double guardUntil;
     int attemptsSent;
@@ -1342,8 +1354,8 @@
     boolean overflowed;
 
     /**
-     * Returns what the call earns if it is established soon; a redial usually misses its aim, so it
-     * counts with its late worth.
+     * Returns what the call earns if it is established soon. A late call counts with its late
+     * worth; redials are late because they usually miss their aim.
      */
     double value() {
       return callClass.worth() * (late ? callClass.lateWorth() : 1);
@@ -1354,7 +1366,7 @@
      * After an attempt that may have taken effect this is restricted, so that no call is made
      * twice.
      */
-    boolean mayRepeatAt(double now, RemoteExchange exchange) {
+    boolean mayRepeatTo(double now, RemoteExchange exchange) {
       boolean permittedExchange =
           uncertainAttempt == null
               || callClass.repeatAnywhere()
--- a/serve/src/main/java/coveladder/serve/Serve.java
+++ b/serve/src/main/java/coveladder/serve/Serve.java
@@ -18,7 +18,8 @@
 
 /**
  * The command {@code coveladder serve}: runs one call controller on the users' platform in the
- * foreground, configured by the file that RELAY_CONFIG names. Only needed classes are loaded.
+ * foreground, configured by the file that RELAY_CONFIG names. It loads only the classes that it
+ * needs.
  */
 public final class Serve {
   private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
--- a/serve/src/main/java/coveladder/serve/SocketTransport.java
+++ b/serve/src/main/java/coveladder/serve/SocketTransport.java
@@ -20,11 +20,11 @@
  */
 final class SocketTransport implements Transport, Streams.Listener {
   /** Maximum number of bytes that were read and wait for the event loop. */
-  private static final int MAX_UNREAD_BYTES = 1 << 20;
+  private static final int MAX_PENDING_INPUT_BYTES = 1 << 20;
 
   private final EventLoop loop;
   private final Streams streams;
-  private final ByteBudget unreadBudget = new ByteBudget(MAX_UNREAD_BYTES);
+  private final ByteBudget pendingInputBudget = new ByteBudget(MAX_PENDING_INPUT_BYTES);
   private Function<Connection, ConnectionListener> acceptor = connection -> null;
 
   SocketTransport(Sockets sockets, EventLoop loop, Streams.Limits limits) {
@@ -106,12 +106,12 @@
 
   @Override
   public void read(Stream stream, byte[] octets, double arrivedMillis) {
-    if (!unreadBudget.acquire(octets.length)) {
+    if (!pendingInputBudget.acquire(octets.length)) {
       return;
     }
     Runnable deliver =
         () -> {
-          unreadBudget.release(octets.length);
+          pendingInputBudget.release(octets.length);
           if (streams.contains(stream)) {
             listener(stream).received(octets, arrivedMillis);
           }
--- a/simhost/src/main/java/coveladder/simhost/SimHost.java
+++ b/simhost/src/main/java/coveladder/simhost/SimHost.java
@@ -29,7 +29,7 @@
   private List<CallPolicy.Exchange> currentPage = new ArrayList<>();
 
   /** Id of the current batch; {@code none} before the first. */
-  private String turn = "none";
+  private String batchId = "none";
 
   /** Simulated time of the current batch, ms. */
   private double now;
@@ -53,7 +53,7 @@
       try {
         handleLine(line);
       } catch (WireException | IllegalArgumentException e) {
-        throw new WireException("batch " + turn + " line " + lineNumber + ": " + e.getMessage());
+        throw new WireException("batch " + batchId + " line " + lineNumber + ": " + e.getMessage());
       }
     }
   }
@@ -109,13 +109,13 @@
   }
 
   private void beginBatch(Fields fields) {
-    turn = fields.text("turn");
+    batchId = fields.text("turn");
     lineNumber = 1;
     now = fields.number("atTime");
   }
 
   private void endBatch() {
-    reply.append("YIELD turn=").append(turn).append('\n');
+    reply.append("YIELD turn=").append(batchId).append('\n');
     out.print(reply);
     out.flush();
     reply.setLength(0);
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Delivers an event. An exception of the policy becomes a PANIC line in the reply; unreadable
-   * input is thrown on.
+   * Delivers an event. An exception of the policy becomes a PANIC line in the reply; one that
+   * reports unreadable input is rethrown.
    */
   private void deliverReportingFailure(Instance instance, PolicyEvent event) {
     try {
