--- a/policy/src/main/java/coveladder/NestedThresholdPolicy.java
+++ b/policy/src/main/java/coveladder/NestedThresholdPolicy.java
@@ -353,7 +353,7 @@
     calls.put(call.id(), tracked);
     tracked.finalAnswerDeadline =
         now + Math.max(0, call.patience() - FINAL_ANSWER_CLOCK_STEPS * settings.clockResolution());
-    tracked.aimDeadline = Math.min(tracked.finalAnswerDeadline, now + timeToAim(tracked));
+    tracked.aimDeadline = Math.min(tracked.finalAnswerDeadline, now + determineTimeToAim(tracked));
     startCallTimer(tracked, tracked.finalAnswerDeadline - now);
     recordArrival(now, call);
     if (isCongested(now, call.number())) {
@@ -453,12 +453,12 @@
   }
 
   /**
-   * Returns the time to the aim of a new call. The time that the call lay unread in a stall is
-   * deducted: the difference between its patience and the longest patience seen in its class, at
-   * most the length of the stall. A call that can no longer reach its aim is marked as late, as
-   * redials are, and like them gets its whole aim.
+   * Determines the time to the aim of a new call, and whether the call is late. The time that it
+   * lay unread in a stall is deducted: the difference between its patience and the longest patience
+   * seen in its class, at most the length of the stall. A call that can no longer reach its aim is
+   * marked as late, as redials are, and like them gets its whole aim.
    */
-  private double timeToAim(TrackedCall call) {
+  private double determineTimeToAim(TrackedCall call) {
     double aim = call.callClass.aim();
     int type = call.request.type();
     if (call.late || call.request.transit() || call.request.returned()) {
--- a/serve/src/main/java/coveladder/serve/SocketTransport.java
+++ b/serve/src/main/java/coveladder/serve/SocketTransport.java
@@ -107,6 +107,7 @@
   @Override
   public void read(Stream stream, byte[] octets, double arrivedMillis) {
     if (!pendingInputBudget.acquire(octets.length)) {
+      // The thread was interrupted while it waited for the budget.
       return;
     }
     Runnable deliver =
