--- a/app/src/main/java/coveladder/app/Daemon.java
+++ b/app/src/main/java/coveladder/app/Daemon.java
@@ -10,7 +10,7 @@
 import coveladder.net.EventLoop;
 import coveladder.net.SocketNode;
 import coveladder.net.Sockets;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.SipFrontEnd;
 import coveladder.store.DiskStore;
 import coveladder.store.PersistentMonotonicClock;
 import io.micrometer.core.instrument.Gauge;
@@ -44,7 +44,7 @@
   private final Sockets sockets;
   private final EventLoop loop;
   private final SocketNode node;
-  private final SipFront frontEnd;
+  private final SipFrontEnd frontEnd;
   private final PrometheusMeterRegistry meterRegistry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final CountDownLatch terminated = new CountDownLatch(1);
@@ -89,9 +89,9 @@
     List<String> classNames =
         settings.classes().stream().map(Settings.ClassSettings::name).toList();
     frontEnd =
-        new SipFront(
+        new SipFrontEnd(
             node,
-            settings.frontSettings(),
+            settings.frontEndSettings(),
             settings.policySettings(),
             guard,
             new CallLog(meterRegistry, classNames),
@@ -126,10 +126,10 @@
     return openedStore;
   }
 
-  private SipFront.Persistence openPersistence(Settings initialSettings) throws IOException {
+  private SipFrontEnd.Persistence openPersistence(Settings initialSettings) throws IOException {
     PersistentMonotonicClock clock =
         PersistentMonotonicClock.open(initialSettings.state().folder());
-    return new SipFront.Persistence(store, initialSettings.state().recoveryBudget(), clock);
+    return new SipFrontEnd.Persistence(store, initialSettings.state().recoveryBudget(), clock);
   }
 
   private void registerStoreGauges() {
@@ -231,7 +231,7 @@
    */
   public List<String> reload(Settings newSettings) {
     List<String> settingsNeedingRestart = settings.changesNeedingRestart(newSettings);
-    loop.offer(() -> frontEnd.reload(newSettings.frontSettings()));
+    loop.offer(() -> frontEnd.reload(newSettings.frontEndSettings()));
     LogLevel.set(newSettings.logLevel());
     settings = newSettings;
     if (settingsNeedingRestart.isEmpty()) {
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -10,7 +10,7 @@
 import coveladder.sip.Timing;
 import coveladder.sip.Transport;
 import coveladder.sipfront.ClassTable;
-import coveladder.sipfront.FrontSettings;
+import coveladder.sipfront.FrontEndSettings;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -154,8 +154,8 @@
   }
 
   /** The settings of the SIP front end. */
-  public FrontSettings frontSettings() {
-    return new FrontSettings(
+  public FrontEndSettings frontEndSettings() {
+    return new FrontEndSettings(
         domain,
         localSwitch,
         directoryServer,
--- a/app/src/test/java/coveladder/app/SettingsFileTest.java
+++ b/app/src/test/java/coveladder/app/SettingsFileTest.java
@@ -31,8 +31,8 @@
     assertEquals(Transport.TCP, settings.directoryServer().transport());
     assertEquals(300, settings.policySettings().guardTime());
     assertEquals(8, settings.policySettings().classes().get(1).worth());
-    assertEquals(List.of("", "cove.2"), settings.frontSettings().classes().priorities());
-    assertEquals(2, settings.frontSettings().classes().prefixes().size());
+    assertEquals(List.of("", "cove.2"), settings.frontEndSettings().classes().priorities());
+    assertEquals(2, settings.frontEndSettings().classes().prefixes().size());
   }
 
   @Test
--- a/bench/src/main/java/coveladder/bench/RestartBench.java
+++ b/bench/src/main/java/coveladder/bench/RestartBench.java
@@ -8,7 +8,7 @@
 import coveladder.net.Sockets;
 import coveladder.sip.Hop;
 import coveladder.sip.Transport;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.SipFrontEnd;
 import coveladder.store.DiskStore;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -141,7 +141,7 @@
       double storeReadMillis = (System.nanoTime() - startNanos) / 1e6;
       SocketNode node = WholePath.Run.newNode(sockets, loop);
       Hop unusedSwitchAddress = new Hop(Transport.UDP, "127.0.0.1", 9);
-      SipFront frontEnd =
+      SipFrontEnd frontEnd =
           WholePath.Run.persistentFrontEnd(
               node,
               unusedSwitchAddress,
--- a/bench/src/main/java/coveladder/bench/SavedCallRecorder.java
+++ b/bench/src/main/java/coveladder/bench/SavedCallRecorder.java
@@ -16,7 +16,7 @@
 import coveladder.sip.SipStack;
 import coveladder.sip.Timing;
 import coveladder.sip.Transport;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.SipFrontEnd;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -52,7 +52,7 @@
       SocketNode controllerNode = WholePath.Run.newNode(sockets, loop);
       SocketNode callerNode = WholePath.Run.newNode(sockets, loop);
       Hop switchAddress = new Hop(Transport.UDP, "127.0.0.1", switchNode.port());
-      SipFront frontEnd =
+      SipFrontEnd frontEnd =
           WholePath.Run.persistentFrontEnd(
               controllerNode,
               switchAddress,
--- a/bench/src/main/java/coveladder/bench/WholePath.java
+++ b/bench/src/main/java/coveladder/bench/WholePath.java
@@ -17,8 +17,8 @@
 import coveladder.sip.Timing;
 import coveladder.sip.Transport;
 import coveladder.sipfront.ClassTable;
-import coveladder.sipfront.FrontSettings;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.FrontEndSettings;
+import coveladder.sipfront.SipFrontEnd;
 import coveladder.store.DiskStore;
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
@@ -67,7 +67,7 @@
     /** The store of the calls; null if they are not stored. */
     private final DiskStore store;
 
-    private final SipFront frontEnd;
+    private final SipFrontEnd frontEnd;
     private final OpenLoopCaller caller;
 
     Run(
@@ -88,9 +88,9 @@
       store = storeFolder == null ? null : new DiskStore(storeFolder, controllerLoop::execute);
       Hop switchAddress = new Hop(transport, "127.0.0.1", switchNode.port());
       frontEnd =
-          new SipFront(
+          new SipFrontEnd(
               controllerNode,
-              frontSettings(switchAddress),
+              frontEndSettings(switchAddress),
               policySettings(),
               new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 250),
               CallController.Observer.NONE,
@@ -119,16 +119,16 @@
      *
      * @param switchAddress address of the local switch, which also serves the exchange directory
      */
-    static SipFront persistentFrontEnd(
+    static SipFrontEnd persistentFrontEnd(
         SocketNode node, Hop switchAddress, CallStore store, RecoveryRate.Budget recoveryBudget) {
-      return new SipFront(
+      return new SipFrontEnd(
           node,
-          frontSettings(switchAddress),
+          frontEndSettings(switchAddress),
           policySettings(),
           new AttemptGuard(/* guardTimeMillis= */ 300, /* drainGraceMillis= */ 250),
           CallController.Observer.NONE,
           actions -> new NestedThresholdPolicy(policySettings(), /* seed= */ 1, actions),
-          new SipFront.Persistence(store, recoveryBudget, System::currentTimeMillis));
+          new SipFrontEnd.Persistence(store, recoveryBudget, System::currentTimeMillis));
     }
 
     /** Creates a node on a free port of the loopback address. */
@@ -137,14 +137,14 @@
           sockets, loop, SocketLimits.DEFAULTS, "127.0.0.1", /* port= */ 0, /* seed= */ 1);
     }
 
-    private SipFront.Persistence persistence() {
+    private SipFrontEnd.Persistence persistence() {
       RecoveryRate.Budget recoveryBudget =
           new RecoveryRate.Budget(/* callsPerSecond= */ 200, /* verifyDelayMillis= */ 2_000);
-      return new SipFront.Persistence(store, recoveryBudget, System::currentTimeMillis);
+      return new SipFrontEnd.Persistence(store, recoveryBudget, System::currentTimeMillis);
     }
 
-    static FrontSettings frontSettings(Hop switchAddress) {
-      return new FrontSettings(
+    static FrontEndSettings frontEndSettings(Hop switchAddress) {
+      return new FrontEndSettings(
           "x0.example",
           switchAddress,
           switchAddress.withTransport(Transport.TCP),
--- a/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/ControllerRestarts.java
@@ -3,7 +3,7 @@
 import coveladder.core.recovery.CallStore;
 import coveladder.core.recovery.RecoveryRate;
 import coveladder.sip.SipHost;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.SipFrontEnd;
 import coveladder.standin.PlannedCall;
 import java.util.HashMap;
 import java.util.Map;
@@ -59,7 +59,7 @@
   }
 
   /** The persistent store of a controller, attached to the host that it is to run on. */
-  SipFront.Persistence persistence(String name, SipHost host) {
+  SipFrontEnd.Persistence persistence(String name, SipHost host) {
     SimulatedDisk disk =
         disks.computeIfAbsent(
             name,
@@ -67,7 +67,8 @@
                 new SimulatedDisk(
                     random.split(), MIN_SYNC_MILLIS, MAX_SYNC_MILLIS, () -> onBoundary(n)));
     disk.attachTo(host);
-    return new SipFront.Persistence(storeWrapper.apply(disk), budget, () -> (long) network.now());
+    return new SipFrontEnd.Persistence(
+        storeWrapper.apply(disk), budget, () -> (long) network.now());
   }
 
   // ---- Kills --------------------------------------------------------------------------------
--- a/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
+++ b/rehearsal/src/main/java/coveladder/rehearsal/Fleet.java
@@ -7,8 +7,8 @@
 import coveladder.sip.SipStack;
 import coveladder.sip.Transport;
 import coveladder.sipfront.ClassTable;
-import coveladder.sipfront.FrontSettings;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.FrontEndSettings;
+import coveladder.sipfront.SipFrontEnd;
 import coveladder.standin.PlannedCall;
 import coveladder.standin.Processor;
 import coveladder.standin.StandinCallers;
@@ -34,7 +34,7 @@
   private final FaultInjection faults;
   private final ControllerRestarts restarts;
   private final TrunkNetwork trunks = new TrunkNetwork();
-  private final Map<Integer, SipFront> controllers = new TreeMap<>();
+  private final Map<Integer, SipFrontEnd> controllers = new TreeMap<>();
   private final Map<Integer, StandinSwitch> switches = new TreeMap<>();
   private final Map<Integer, StandinDirectory.Entry> directoryEntries = new TreeMap<>();
   private final Map<Integer, Hop> controllerAddresses = new LinkedHashMap<>();
@@ -190,34 +190,36 @@
 
   private void addController(int exchange) {
     CallPolicy.Settings policySettings = config.policySettings(exchange);
-    FrontSettings frontSettings = frontSettings(exchange);
-    SipFront frontEnd =
+    FrontEndSettings frontEndSettings = frontEndSettings(exchange);
+    SipFrontEnd frontEnd =
         network.addNode(
             controllerName(exchange),
             controllerName(exchange),
-            host -> newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
+            host ->
+                newFrontEnd(faults.hostWrapper().apply(host), frontEndSettings, policySettings));
     controllers.put(exchange, frontEnd);
   }
 
   /** Restarts a controller that was killed, from the contents of its disk. */
   void restartController(int exchange) {
     CallPolicy.Settings policySettings = config.policySettings(exchange);
-    FrontSettings frontSettings = frontSettings(exchange);
-    SipFront frontEnd =
+    FrontEndSettings frontEndSettings = frontEndSettings(exchange);
+    SipFrontEnd frontEnd =
         ((SimulatedNetwork) network)
             .restartNode(
                 controllerName(exchange),
                 host ->
-                    newFrontEnd(faults.hostWrapper().apply(host), frontSettings, policySettings));
+                    newFrontEnd(
+                        faults.hostWrapper().apply(host), frontEndSettings, policySettings));
     controllers.put(exchange, frontEnd);
   }
 
-  private SipFront newFrontEnd(
-      SipHost host, FrontSettings frontSettings, CallPolicy.Settings policySettings) {
+  private SipFrontEnd newFrontEnd(
+      SipHost host, FrontEndSettings frontEndSettings, CallPolicy.Settings policySettings) {
     long policySeed = seed * 1000 + policySettings.localExchange();
-    return new SipFront(
+    return new SipFrontEnd(
         host,
-        frontSettings,
+        frontEndSettings,
         policySettings,
         faults.guardFactory().get(),
         CallController.Observer.NONE,
@@ -227,13 +229,13 @@
             : restarts.persistence(controllerName(policySettings.localExchange()), host));
   }
 
-  private FrontSettings frontSettings(int exchange) {
+  private FrontEndSettings frontEndSettings(int exchange) {
     List<String> names =
         config.callClasses().stream().map(FleetConfig.CallClassConfig::name).toList();
     List<String> priorities =
         config.callClasses().stream().map(FleetConfig.CallClassConfig::priority).toList();
     Transport switchTransport = exchange % 2 == 0 ? Transport.TCP : Transport.UDP;
-    return new FrontSettings(
+    return new FrontEndSettings(
         domain(exchange),
         network.reserveAddress(switchName(exchange)).withTransport(switchTransport),
         network.reserveAddress("list").withTransport(Transport.TCP),
@@ -264,7 +266,7 @@
   }
 
   /** The controller of an exchange. */
-  public SipFront controller(int exchange) {
+  public SipFrontEnd controller(int exchange) {
     return controllers.get(exchange);
   }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -10,8 +10,8 @@
 import coveladder.sip.Timing;
 import coveladder.sip.Transport;
 import coveladder.sipfront.ClassTable;
-import coveladder.sipfront.FrontSettings;
-import coveladder.sipfront.SipFront;
+import coveladder.sipfront.FrontEndSettings;
+import coveladder.sipfront.SipFrontEnd;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -27,12 +27,12 @@
   final Hop controllerAddress;
   final SimulatedDisk disk =
       new SimulatedDisk(new SplittableRandom(3), SYNC_MILLIS, SYNC_MILLIS, () -> {});
-  SipFront frontEnd;
+  SipFrontEnd frontEnd;
 
   /** Difference of the controller's wall clock from the time of the network, ms. */
   double clockStepMillis;
 
-  private FrontSettings settings;
+  private FrontEndSettings settings;
   private final FleetConfig config = FleetConfig.eightExchanges().withSize(4, 1);
   private final boolean persistent;
 
@@ -51,7 +51,7 @@
             /* lossRate= */ 0,
             /* duplicationRate= */ 0));
     settings =
-        new FrontSettings(
+        new FrontEndSettings(
             "x0.example",
             network.reserveAddress("switch").withTransport(switchTransport),
             network.reserveAddress("list"),
@@ -71,9 +71,9 @@
     updateDirectory();
   }
 
-  private SipFront newFrontEnd(SipHost host) {
+  private SipFrontEnd newFrontEnd(SipHost host) {
     disk.attachTo(host);
-    return new SipFront(
+    return new SipFrontEnd(
         host,
         settings,
         config.policySettings(0),
@@ -81,7 +81,7 @@
         CallController.Observer.NONE,
         FaultInjection.NONE.policyFactoryFor(config.policySettings(0), 3),
         persistent
-            ? new SipFront.Persistence(
+            ? new SipFrontEnd.Persistence(
                 disk,
                 new RecoveryRate.Budget(/* callsPerSecond= */ 1_000, /* verifyDelayMillis= */ 100),
                 () -> wallClock())
--- a/sipfront/src/main/java/coveladder/sipfront/Bridge.java
+++ b/sipfront/src/main/java/coveladder/sipfront/Bridge.java
@@ -24,7 +24,7 @@
 final class Bridge {
   private static final int MAX_RELIABLE_RESPONSES = 64;
 
-  private final SipFront front;
+  private final SipFrontEnd frontEnd;
   private final String id;
 
   /** Whether the call came from another exchange through the local switch. */
@@ -51,8 +51,8 @@
   /** Session interval (RFC 4028), ms; 0: the session does not expire. */
   private double sessionIntervalMillis;
 
-  Bridge(SipFront front, String id, boolean transit, CallLeg callerLeg) {
-    this.front = front;
+  Bridge(SipFrontEnd frontEnd, String id, boolean transit, CallLeg callerLeg) {
+    this.frontEnd = frontEnd;
     this.id = id;
     this.transit = transit;
     this.callerLeg = callerLeg;
@@ -83,7 +83,7 @@
     calleeAnswer = null;
     inviteSent = false;
     AttemptListener listener = new AttemptListener(request.attempt());
-    attemptLeg = front.userAgent().prepare(invite, front.localSwitch(), listener);
+    attemptLeg = frontEnd.userAgent().prepare(invite, frontEnd.localSwitch(), listener);
   }
 
   /** Whether this attempt was prepared and not sent yet. */
@@ -150,7 +150,7 @@
 
     @Override
     public void responseReceived(CallLeg leg, SipResponse response) {
-      front.reportLocalLoad(response);
+      frontEnd.reportLocalLoad(response);
     }
 
     @Override
@@ -164,7 +164,7 @@
     public void answered(CallLeg leg, SipResponse response) {
       calleeAnswer = response;
       awaitsCallerAck = leg.invite().body().length == 0 && response.body().length > 0;
-      front.controller().attemptAnswered(id, attempt);
+      frontEnd.controller().attemptAnswered(id, attempt);
       if (leg.state() == CallLeg.State.ENDED) {
         reportEnd(new AttemptOutcome(Outcome.CANCELLED, Reason.NONE, 0));
       }
@@ -174,8 +174,8 @@
     public void rejected(CallLeg leg, SipResponse response) {
       if (AttemptOutcome.isConclusive(response)) {
         calleeAnswer = response;
-        front.controller().calleeRejected(id, attempt);
-        front.removeIfEnded(id);
+        frontEnd.controller().calleeRejected(id, attempt);
+        frontEnd.removeIfEnded(id);
       } else {
         reportEnd(AttemptOutcome.of(response));
       }
@@ -208,15 +208,15 @@
 
     @Override
     public void released(CallLeg leg) {
-      front.releaseCompleted(id, Bridge.this);
+      frontEnd.releaseCompleted(id, Bridge.this);
     }
 
     private void reportEnd(AttemptOutcome outcome) {
-      front
+      frontEnd
           .controller()
           .attemptEnded(
               id, attempt, outcome.outcome(), outcome.reason(), outcome.retryAfterMillis());
-      front.removeIfEnded(id);
+      frontEnd.removeIfEnded(id);
     }
   }
 
@@ -226,19 +226,19 @@
   private final class CallerListener implements CallListener {
     @Override
     public void cancelRequested(CallLeg leg, Runnable sendResponse) {
-      front.callerCancelled(
+      frontEnd.callerCancelled(
           id,
           () -> {
             sendResponse.run();
-            front.removeIfEnded(id);
+            frontEnd.removeIfEnded(id);
           });
-      front.controller().callerAbandoned(id);
-      front.removeIfEnded(id);
+      frontEnd.controller().callerAbandoned(id);
+      frontEnd.removeIfEnded(id);
     }
 
     @Override
     public void acknowledged(CallLeg leg, SipRequest ack) {
-      front.callChanged(id);
+      frontEnd.callChanged(id);
       if (awaitsCallerAck) {
         awaitsCallerAck = false;
         attemptLeg.ack(ack);
@@ -258,13 +258,13 @@
 
     @Override
     public void ended(CallLeg leg, SipRequest bye) {
-      front.controller().callerReleased(id);
-      front.removeIfEnded(id);
+      frontEnd.controller().callerReleased(id);
+      frontEnd.removeIfEnded(id);
     }
 
     @Override
     public void released(CallLeg leg) {
-      front.releaseCompleted(id, Bridge.this);
+      frontEnd.releaseCompleted(id, Bridge.this);
     }
   }
 
@@ -277,7 +277,8 @@
           EndToEndHeaders.copy(calleeAnswer, preparedAnswer);
         }
         default ->
-            preparedAnswer = FinalResponses.of(callerLeg, finalAnswer, transit, front.settings());
+            preparedAnswer =
+                FinalResponses.of(callerLeg, finalAnswer, transit, frontEnd.settings());
       }
     }
     return preparedAnswer;
@@ -399,7 +400,7 @@
 
   private void sessionRefreshed(SipResponse response) {
     restartSessionTimer(response);
-    front.callChanged(id);
+    frontEnd.callChanged(id);
   }
 
   /**
@@ -420,7 +421,7 @@
       if (sessionTimer != null) {
         sessionTimer.cancel();
       }
-      sessionTimer = front.host().schedule(sessionIntervalMillis, this::sessionExpired);
+      sessionTimer = frontEnd.host().schedule(sessionIntervalMillis, this::sessionExpired);
     }
   }
 
@@ -428,8 +429,8 @@
   void sessionExpired() {
     if (callerLeg.state() != CallLeg.State.ENDED) {
       releaseCaller(true);
-      front.controller().callerReleased(id);
-      front.removeIfEnded(id);
+      frontEnd.controller().callerReleased(id);
+      frontEnd.removeIfEnded(id);
     }
   }
 }
--- a/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FinalResponses.java
@@ -14,7 +14,7 @@
    * Reason, the controller that sent it here learns that a tandem refused it.
    */
   static SipResponse of(
-      CallLeg callerLeg, FinalAnswer answer, boolean transit, FrontSettings settings) {
+      CallLeg callerLeg, FinalAnswer answer, boolean transit, FrontEndSettings settings) {
     if (answer.kind() == FinalAnswer.Kind.SHUT_DOWN) {
       return unavailable(callerLeg, ReasonField.CONGESTION, transit, settings.retryAfterSeconds());
     }
--- a/sipfront/src/main/java/coveladder/sipfront/FrontSettings.java
+++ b/sipfront/src/main/java/coveladder/sipfront/FrontEndSettings.java
@@ -18,7 +18,7 @@
  * @param timing timer values of the SIP stack
  * @param limits limits of the SIP stack
  */
-public record FrontSettings(
+public record FrontEndSettings(
     String domain,
     Hop localSwitch,
     Hop directoryServer,
@@ -31,7 +31,7 @@
     SipStack.Limits limits) {
 
   /** Checks that the values are in range. */
-  public FrontSettings {
+  public FrontEndSettings {
     require(!domain.isEmpty(), "domain", domain);
     require(patienceMillis > 0, "patience", patienceMillis);
     require(answerMarginMillis >= 0, "answerMargin", answerMarginMillis);
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -27,7 +27,7 @@
 final class SavedLegs implements CallLegs {
   private static final byte[] EMPTY = {};
 
-  private final SipFront front;
+  private final SipFrontEnd frontEnd;
   private final LongSupplier wallClock;
 
   /** Established calls that have not been restored yet, by call id. */
@@ -45,8 +45,8 @@
    */
   private record DeferredCall(SavedCall saved, boolean retransmitAnswer, int incarnation) {}
 
-  SavedLegs(SipFront front, LongSupplier wallClock) {
-    this.front = front;
+  SavedLegs(SipFrontEnd frontEnd, LongSupplier wallClock) {
+    this.frontEnd = frontEnd;
     this.wallClock = wallClock;
   }
 
@@ -59,7 +59,7 @@
 
   @Override
   public byte[] encodeCallerLeg(String call) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     byte[] answer = bridge.preparedAnswer() == null ? EMPTY : bridge.preparedAnswer().toBytes();
     CallLeg leg = bridge.callerLeg();
     return legRecord(leg, leg.invite().fromTag(), false, 0, answer).encode();
@@ -67,12 +67,12 @@
 
   @Override
   public byte[] prepareAttempt(AttemptRequest request) {
-    return legRecord(front.prepareAttempt(request).attemptLeg(), "", false, 0, EMPTY).encode();
+    return legRecord(frontEnd.prepareAttempt(request).attemptLeg(), "", false, 0, EMPTY).encode();
   }
 
   @Override
   public byte[] encodeAttemptLeg(String call) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     SipResponse answer = bridge.calleeAnswer();
     long sessionIntervalSeconds = answer.numericHeader("Session-Expires", 0);
     return legRecord(
@@ -100,7 +100,7 @@
 
   @Override
   public byte[] updateLeg(String call, boolean callerSide, byte[] encodedLeg) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     CallLeg leg = callerSide ? bridge.callerLeg() : bridge.attemptLeg();
     boolean acknowledged = leg.state() == CallLeg.State.CONFIRMED;
     return LegRecord.decode(encodedLeg)
@@ -110,18 +110,18 @@
 
   @Override
   public byte[] encodeFinalAnswer(String call, FinalAnswer answer) {
-    return front.bridge(call).prepareAnswer(answer).toBytes();
+    return frontEnd.bridge(call).prepareAnswer(answer).toBytes();
   }
 
   @Override
   public boolean isReleasing(String call) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     return bridge != null && bridge.isReleasing();
   }
 
   @Override
   public void prepareSuccess(String call) {
-    front.bridge(call).prepareAnswer(FinalAnswer.ESTABLISHED);
+    frontEnd.bridge(call).prepareAnswer(FinalAnswer.ESTABLISHED);
   }
 
   // ---- After a restart ----------------------------------------------------------------------
@@ -137,11 +137,11 @@
     boolean retransmitAnswer = answerDue && !callerRecord.acknowledged();
     deferredCalls.put(saved.id(), new DeferredCall(saved, retransmitAnswer, incarnation));
     restoreKeys(callerRecord, attemptRecord)
-        .forEach(key -> front.userAgent().deferRestore(key, () -> restore(saved.id())));
+        .forEach(key -> frontEnd.userAgent().deferRestore(key, () -> restore(saved.id())));
     if (retransmitAnswer) {
       restore(saved.id());
     } else if (attemptRecord.sessionIntervalSeconds() > 0) {
-      front
+      frontEnd
           .host()
           .schedule(
               1000.0 * attemptRecord.sessionIntervalSeconds(), () -> sessionExpired(saved.id()));
@@ -176,11 +176,11 @@
     SavedCall saved = deferred.saved();
     LegRecord callerRecord = LegRecord.decode(saved.callerLeg());
     LegRecord attemptRecord = LegRecord.decode(saved.attemptLeg());
-    restoreKeys(callerRecord, attemptRecord).forEach(front.userAgent()::cancelDeferredRestore);
-    Bridge bridge = new Bridge(front, saved.id(), saved.call().transit(), null);
-    front.addBridge(saved.id(), bridge);
+    restoreKeys(callerRecord, attemptRecord).forEach(frontEnd.userAgent()::cancelDeferredRestore);
+    Bridge bridge = new Bridge(frontEnd, saved.id(), saved.call().transit(), null);
+    frontEnd.addBridge(saved.id(), bridge);
     CallLeg callerLeg =
-        front
+        frontEnd
             .userAgent()
             .resumeCallee(
                 callerRecord.parseInvite(),
@@ -193,7 +193,7 @@
                     .forIncarnation(deferred.incarnation()),
                 bridge.callerListener());
     CallLeg attemptLeg =
-        front
+        frontEnd
             .userAgent()
             .resumeCaller(
                 attemptRecord.parseInvite(),
@@ -214,7 +214,7 @@
 
   @Override
   public void verify(String call, boolean callerSide, Consumer<LegStatus> result) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     CallLeg leg = callerSide ? bridge.callerLeg() : bridge.attemptLeg();
     if (!leg.send("OPTIONS", null, new VerificationListener(result))) {
       result.accept(LegStatus.GONE);
@@ -245,24 +245,26 @@
 
   @Override
   public void releaseLost(String call, boolean callerSide) {
-    Bridge bridge = front.bridge(call);
+    Bridge bridge = frontEnd.bridge(call);
     if (bridge == null) {
       return;
     }
     if (callerSide) {
-      front.controller().callerReleased(call);
+      frontEnd.controller().callerReleased(call);
       bridge.callerLeg().bye(null);
     } else {
       bridge.attemptLeg().bye(null);
-      front.controller().attemptEnded(call, bridge.currentAttempt(), Outcome.RESET, Reason.NONE, 0);
+      frontEnd
+          .controller()
+          .attemptEnded(call, bridge.currentAttempt(), Outcome.RESET, Reason.NONE, 0);
     }
-    front.removeIfEnded(call);
+    frontEnd.removeIfEnded(call);
   }
 
   @Override
   public void cancelAfterRestart(SavedCall saved, Runnable whenEnded) {
     LegRecord attemptRecord = LegRecord.decode(saved.attemptLeg());
-    front
+    frontEnd
         .userAgent()
         .cancelAfterRestart(attemptRecord.parseInvite(), attemptRecord.hop(), whenEnded);
   }
@@ -286,14 +288,14 @@
           }
         };
     CallLeg leg =
-        front
+        frontEnd
             .userAgent()
             .resumePending(
                 callerRecord.parseInvite(), callerRecord.hop(), callerRecord.localTag(), listener);
     interruptedCallers.put(saved.id(), leg);
-    front
+    frontEnd
         .host()
-        .schedule(front.settings().timing().transactionTimeout(), () -> abandon(saved.id()));
+        .schedule(frontEnd.settings().timing().transactionTimeout(), () -> abandon(saved.id()));
   }
 
   /**
@@ -310,7 +312,7 @@
   @Override
   public byte[] encodeInterruptedAnswer(SavedCall saved, FinalAnswer answer) {
     CallLeg leg = interruptedCallers.get(saved.id());
-    return FinalResponses.of(leg, answer, saved.call().transit(), front.settings()).toBytes();
+    return FinalResponses.of(leg, answer, saved.call().transit(), frontEnd.settings()).toBytes();
   }
 
   @Override
@@ -325,7 +327,7 @@
   public void resendFinalAnswer(SavedCall saved) {
     // The stored octets are a whole response; the other fields of the record are not used.
     LegRecord answerRecord =
-        new LegRecord(front.localSwitch(), "", "", "", false, null, 0, EMPTY, saved.answer());
+        new LegRecord(frontEnd.localSwitch(), "", "", "", false, null, 0, EMPTY, saved.answer());
     CallLeg leg = interruptedCallers.remove(saved.id());
     if (leg != null) {
       leg.reject(answerRecord.parseAnswer());
--- a/sipfront/src/main/java/coveladder/sipfront/SipFront.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFrontEnd.java
@@ -43,7 +43,7 @@
  * The SIP protocol front end of one call controller: callers' INVITEs become calls of the core, and
  * the core's requests become INVITE, CANCEL and BYE toward the local switch.
  */
-public final class SipFront implements SipNode, UserAgent.Owner, Signalling {
+public final class SipFrontEnd implements SipNode, UserAgent.Owner, Signalling {
   /** Event package of the exchange directory. */
   public static final String DIRECTORY_EVENT = "exchange-list";
 
@@ -51,7 +51,7 @@
   public static final String CIRCUIT_EVENT = "circuit-groups";
 
   private final SipHost host;
-  private FrontSettings settings;
+  private FrontEndSettings settings;
   private final SipStack stack;
   private final CallController controller;
   private final Scheduler scheduler;
@@ -83,9 +83,9 @@
    *
    * @param policyFactory creates the routing policy
    */
-  public SipFront(
+  public SipFrontEnd(
       SipHost host,
-      FrontSettings settings,
+      FrontEndSettings settings,
       CallPolicy.Settings policySettings,
       AttemptGuard attemptGuard,
       CallController.Observer observer,
@@ -99,9 +99,9 @@
    * @param policyFactory creates the routing policy
    * @param persistence where calls are stored and how they are recovered; null: they are not stored
    */
-  public SipFront(
+  public SipFrontEnd(
       SipHost host,
-      FrontSettings settings,
+      FrontEndSettings settings,
       CallPolicy.Settings policySettings,
       AttemptGuard attemptGuard,
       CallController.Observer observer,
@@ -257,9 +257,9 @@
    * number of calls and Retry-After. The domain, addresses, timers and limits of the stack do not
    * change.
    */
-  public void reload(FrontSettings newSettings) {
+  public void reload(FrontEndSettings newSettings) {
     settings =
-        new FrontSettings(
+        new FrontEndSettings(
             settings.domain(),
             settings.localSwitch(),
             settings.directoryServer(),
@@ -294,7 +294,7 @@
     return host;
   }
 
-  FrontSettings settings() {
+  FrontEndSettings settings() {
     return settings;
   }
 
