--- a/core/src/main/java/coveladder/core/recovery/CallLegs.java
+++ b/core/src/main/java/coveladder/core/recovery/CallLegs.java
@@ -31,8 +31,11 @@
   /** Encodes a final answer other than 2xx as it will be sent, so that it can be sent again. */
   byte[] encodeFinalAnswer(String call, FinalAnswer answer);
 
-  /** The wall clock, ms: it continues across restarts, but may have been set since the last one. */
-  long wallClockMillis();
+  /**
+   * The persistent clock, ms: it continues across restarts of the process, but may step across a
+   * reboot if the wall clock has been set.
+   */
+  long persistentClockMillis();
 
   // ---- After a restart ----------------------------------------------------------------------
 
--- a/core/src/main/java/coveladder/core/recovery/Recovery.java
+++ b/core/src/main/java/coveladder/core/recovery/Recovery.java
@@ -242,7 +242,7 @@
    * for rounding, means that the clock was set back.
    */
   private boolean isCallerWaiting(SavedCall saved) {
-    long patienceLeft = saved.deadline() - legs.wallClockMillis();
+    long patienceLeft = saved.deadline() - legs.persistentClockMillis();
     return !outOfDate && patienceLeft > 0 && patienceLeft <= saved.call().patience() + 1;
   }
 
--- a/core/src/main/java/coveladder/core/recovery/SavedCall.java
+++ b/core/src/main/java/coveladder/core/recovery/SavedCall.java
@@ -14,8 +14,8 @@
  * @param callerLeg the encoded caller's leg
  * @param attemptLeg the encoded leg of the attempt
  * @param answer the encoded final answer other than 2xx; empty if there is none
- * @param deadline wall clock at which the caller's patience ends, ms; 0: the caller is not known to
- *     wait; -1: it has cancelled
+ * @param deadline time of the persistent clock at which the caller's patience ends, ms; 0: the
+ *     caller is not known to wait; -1: it has cancelled
  */
 public record SavedCall(
     Call call,
--- a/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
+++ b/core/src/main/java/coveladder/core/recovery/WriteAheadSignalling.java
@@ -99,7 +99,8 @@
   public void startAttempt(AttemptRequest request) {
     TrackedCall tracked = controller.call(request.call());
     byte[] leg = legs.prepareAttempt(request);
-    long deadline = legs.wallClockMillis() + Math.round(tracked.patienceLeft(scheduler.now()));
+    long deadline =
+        legs.persistentClockMillis() + Math.round(tracked.patienceLeft(scheduler.now()));
     SavedCall saved =
         new SavedCall(
             tracked.call(),
--- a/core/src/test/java/coveladder/core/recovery/CrashTest.java
+++ b/core/src/test/java/coveladder/core/recovery/CrashTest.java
@@ -279,7 +279,7 @@
     public void prepareSuccess(String call) {}
 
     @Override
-    public long wallClockMillis() {
+    public long persistentClockMillis() {
       return 1_000_000;
     }
 
--- a/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
+++ b/rehearsal/src/test/java/coveladder/rehearsal/ControllerHarness.java
@@ -29,7 +29,7 @@
       new SimulatedDisk(new SplittableRandom(3), SYNC_MILLIS, SYNC_MILLIS, () -> {});
   SipFrontEnd frontEnd;
 
-  /** Difference of the controller's wall clock from the time of the network, ms. */
+  /** Difference of the controller's persistent clock from the time of the network, ms. */
   double clockStepMillis;
 
   private FrontEndSettings settings;
@@ -84,11 +84,11 @@
             ? new SipFrontEnd.Persistence(
                 disk,
                 new RecoveryRate.Budget(/* callsPerSecond= */ 1_000, /* verifyDelayMillis= */ 100),
-                () -> wallClock())
+                () -> persistentClockMillis())
             : null);
   }
 
-  private long wallClock() {
+  private long persistentClockMillis() {
     return (long) (network.now() + clockStepMillis);
   }
 
--- a/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SavedLegs.java
@@ -28,7 +28,7 @@
   private static final byte[] EMPTY = {};
 
   private final SipFrontEnd frontEnd;
-  private final LongSupplier wallClock;
+  private final LongSupplier persistentClock;
 
   /** Established calls that have not been restored yet, by call id. */
   private final Map<String, DeferredCall> deferredCalls = new HashMap<>();
@@ -45,14 +45,14 @@
    */
   private record DeferredCall(SavedCall saved, boolean retransmitAnswer, int incarnation) {}
 
-  SavedLegs(SipFrontEnd frontEnd, LongSupplier wallClock) {
+  SavedLegs(SipFrontEnd frontEnd, LongSupplier persistentClock) {
     this.frontEnd = frontEnd;
-    this.wallClock = wallClock;
+    this.persistentClock = persistentClock;
   }
 
   @Override
-  public long wallClockMillis() {
-    return wallClock.getAsLong();
+  public long persistentClockMillis() {
+    return persistentClock.getAsLong();
   }
 
   // ---- Encoding -----------------------------------------------------------------------------
--- a/sipfront/src/main/java/coveladder/sipfront/SipFrontEnd.java
+++ b/sipfront/src/main/java/coveladder/sipfront/SipFrontEnd.java
@@ -116,7 +116,7 @@
       this.controller =
           new CallController(policySettings, this, attemptGuard, observer, policyFactory);
     } else {
-      this.savedLegs = new SavedLegs(this, persistence.wallClock());
+      this.savedLegs = new SavedLegs(this, persistence.persistentClock());
       double transactionTimeoutMillis = settings.timing().transactionTimeout();
       this.writeAhead =
           new WriteAheadSignalling(this, savedLegs, persistence.store(), transactionTimeoutMillis);
@@ -151,10 +151,10 @@
    *
    * @param store the persistent store of calls
    * @param recoveryBudget limits of the traffic that recovery sends
-   * @param wallClock a clock that continues across restarts, ms; deadlines are stored by it
+   * @param persistentClock a clock that continues across restarts, ms; deadlines are stored by it
    */
   public record Persistence(
-      CallStore store, RecoveryRate.Budget recoveryBudget, LongSupplier wallClock) {}
+      CallStore store, RecoveryRate.Budget recoveryBudget, LongSupplier persistentClock) {}
 
   /** The layer that stores calls before messages are sent; null if calls are not stored. */
   public WriteAheadSignalling writeAhead() {
