--- a/app/src/main/java/coveladder/app/RestartRehearsal.java
+++ b/app/src/main/java/coveladder/app/RestartRehearsal.java
@@ -170,7 +170,7 @@
 
   private void startAll(Path folder, Map<Integer, Hop> addresses)
       throws IOException, InterruptedException {
-    int listPort = network.reserveAddress("list").port();
+    int directoryServerPort = network.reserveAddress("list").port();
     for (int i = 0; i < fleetConfig.exchangeCount(); i++) {
       Path settingsFile = folder.resolve("x" + i + ".kdl");
       int switchPort = network.reserveAddress(Fleet.switchName(i)).port();
@@ -178,7 +178,12 @@
       Files.writeString(
           settingsFile,
           SettingsText.of(
-              fleetConfig, i, addresses.get(i).port(), switchPort, listPort, stateFolder));
+              fleetConfig,
+              i,
+              addresses.get(i).port(),
+              switchPort,
+              directoryServerPort,
+              stateFolder));
       ControllerProcess controller =
           new ControllerProcess(settingsFile, folder.resolve("x" + i + ".log"));
       controllers.add(controller);
--- a/app/src/main/java/coveladder/app/Settings.java
+++ b/app/src/main/java/coveladder/app/Settings.java
@@ -173,7 +173,7 @@
    * and serves no metrics.
    *
    * @param stateFolder a temporary state folder
-   * @param unusedPort port given as that of the local switch and of the list server
+   * @param unusedPort port given as that of the local switch and of the directory server
    */
   Settings forWarmUp(Path stateFolder, int unusedPort) {
     Hop unusedAddress = new Hop(Transport.UDP, "127.0.0.1", unusedPort);
--- a/app/src/main/java/coveladder/app/SettingsText.java
+++ b/app/src/main/java/coveladder/app/SettingsText.java
@@ -15,7 +15,7 @@
    * @param exchange number of its exchange
    * @param listenPort port on which it listens
    * @param switchPort port of the local switch
-   * @param listPort port of the list server
+   * @param directoryServerPort port of the directory server
    * @param stateFolder folder in which it stores its calls
    */
   static String of(
@@ -23,7 +23,7 @@
       int exchange,
       int listenPort,
       int switchPort,
-      int listPort,
+      int directoryServerPort,
       Path stateFolder) {
     StringBuilder text = new StringBuilder();
     text.append("// Settings of one controller; checked by: coveladder check FILE\n");
@@ -32,7 +32,7 @@
     text.append("exchange number=").append(exchange).append('\n');
     text.append("fleet controllers=").append(fleetConfig.exchangeCount()).append('\n');
     text.append("switch port=").append(switchPort).append('\n');
-    text.append("list port=").append(listPort).append('\n');
+    text.append("list port=").append(directoryServerPort).append('\n');
     text.append("state folder=\"").append(stateFolder.toAbsolutePath()).append("\"\n");
     for (FleetConfig.CallClassConfig callClass : fleetConfig.callClasses()) {
       text.append("class \"")
--- a/app/src/main/java/coveladder/app/StandinCommand.java
+++ b/app/src/main/java/coveladder/app/StandinCommand.java
@@ -28,11 +28,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs stand-in switches and a list server for controllers in other processes on this host. */
+/**
+ * Runs stand-in switches and a directory server for controllers in other processes on this host.
+ */
 @Command(
     name = "standin",
     description = {
-      "Run stand-in switches and a list server on loopback, and write settings for the",
+      "Run stand-in switches and a directory server on loopback, and write settings for the",
       "controllers that belong to them. Ends after --minutes."
     })
 final class StandinCommand implements Callable<Integer> {
@@ -54,7 +56,8 @@
   @Option(
       names = "--base-port",
       defaultValue = "15000",
-      description = "port of the list server; switches start 10 above it, controllers 100 above it")
+      description =
+          "port of the directory server; switches start 10 above it, controllers 100 above it")
   private int basePort;
 
   @Option(
--- a/app/src/test/java/coveladder/app/DaemonTest.java
+++ b/app/src/test/java/coveladder/app/DaemonTest.java
@@ -25,26 +25,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A controller whose local switch, list server and caller are UDP sockets of the test. */
+/** A controller whose local switch, directory server and caller are UDP sockets of the test. */
 class DaemonTest {
   private static final int TIMEOUT_MILLIS = 10_000;
 
   @TempDir private Path folder;
   private DatagramSocket localSwitch;
-  private DatagramSocket listServer;
+  private DatagramSocket directoryServer;
   private DatagramSocket caller;
   private Daemon daemon;
 
   @BeforeEach
   void start() throws Exception {
     localSwitch = socket();
-    listServer = socket();
+    directoryServer = socket();
     caller = socket();
     String document =
         SettingsFileTest.VALID
                 .replace(
                     "5070 transport=\"udp\"", localSwitch.getLocalPort() + " transport=\"udp\"")
-                .replace("5080", listServer.getLocalPort() + " transport=\"udp\"")
+                .replace("5080", directoryServer.getLocalPort() + " transport=\"udp\"")
             + "metrics port=0\ncalls drain=200\n";
     daemon = new Daemon(SettingsFile.read("x.kdl", document));
   }
@@ -54,7 +54,7 @@
         SettingsFileTest.VALID
                 .replace(
                     "5070 transport=\"udp\"", localSwitch.getLocalPort() + " transport=\"udp\"")
-                .replace("5080", listServer.getLocalPort() + " transport=\"udp\"")
+                .replace("5080", directoryServer.getLocalPort() + " transport=\"udp\"")
             + "metrics port=0\ncalls drain=200\nstate folder=\""
             + folder
             + "\" ask-after=0\n";
@@ -65,7 +65,7 @@
   private void restartWithStateFolder() throws Exception {
     stop();
     localSwitch = socket();
-    listServer = socket();
+    directoryServer = socket();
     caller = socket();
     daemon = new Daemon(settingsWithStateFolder());
   }
@@ -80,7 +80,7 @@
   void stop() {
     daemon.close();
     localSwitch.close();
-    listServer.close();
+    directoryServer.close();
     caller.close();
   }
 
@@ -108,9 +108,9 @@
     return message.substring(start, message.indexOf("\r\n", start));
   }
 
-  /** Sends the controller a directory of two exchanges, as the list server would. */
+  /** Sends the controller a directory of two exchanges, as the directory server would. */
   private void sendDirectory() throws IOException {
-    String subscribe = receive(listServer, "SUBSCRIBE");
+    String subscribe = receive(directoryServer, "SUBSCRIBE");
     String body =
         "{\"full\":true,\"version\":1,\"exchanges\":["
             + directoryEntry(0, daemon.port())
@@ -118,9 +118,9 @@
             + directoryEntry(1, localSwitch.getLocalPort())
             + "]}";
     send(
-        listServer,
+        directoryServer,
         "NOTIFY sip:c SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:"
-            + listServer.getLocalPort()
+            + directoryServer.getLocalPort()
             + ";branch=z9hG4bKn1\r\nFrom: <sip:list@x>;tag=l\r\nTo: "
             + header(subscribe, "From")
             + "\r\nCall-ID: "
@@ -130,7 +130,7 @@
             + body.length()
             + "\r\n\r\n"
             + body);
-    receive(listServer, "SIP/2.0 200");
+    receive(directoryServer, "SIP/2.0 200");
   }
 
   private static String directoryEntry(int number, int port) {
--- a/bench/src/main/java/coveladder/bench/StatelessSwitch.java
+++ b/bench/src/main/java/coveladder/bench/StatelessSwitch.java
@@ -83,7 +83,7 @@
 
   private void notify(Hop to, String subscribe) {
     String body =
-        subscribe.contains("Event: exchange-list") ? exchangeListJson() : circuitGroupsJson();
+        subscribe.contains("Event: exchange-list") ? exchangeDirectoryJson() : circuitGroupsJson();
     sentNotifies++;
     String contact = header(subscribe, "Contact");
     send(
@@ -120,7 +120,7 @@
     return json.append("]}").toString();
   }
 
-  private String exchangeListJson() {
+  private String exchangeDirectoryJson() {
     StringBuilder json = new StringBuilder("{\"full\":true,\"version\":1,\"exchanges\":[");
     for (int i = 0; i < EXCHANGE_COUNT; i++) {
       json.append(i > 0 ? "," : "").append(exchangeJson(i));
